--- a/internal/collect/crowd_test.go
+++ b/internal/collect/crowd_test.go
@@ -148,7 +148,7 @@
 	counts := from.core.Counts(c.now)
 	collector.sums.TakeMember(c.now, from.id, counts, nil)
 	if !c.lost() {
-		from.core.TakeTotals(c.now, counts, collector.sums.Totals(c.now, collector.plan.Others))
+		from.core.ApplyTotals(c.now, counts, collector.sums.Totals(c.now, collector.plan.Others))
 	}
 }
 
--- a/internal/collect/landed_test.go
+++ b/internal/collect/landed_test.go
@@ -12,7 +12,7 @@
 )
 
 // countsOfLandedBuilds are those in the recorded messages.
-var countsOfLandedBuilds = []dispatch.Count{{Key: 7, Requests: 3, Wanted: 40}, {Key: 9, Requests: 1, Wanted: 2, Ended: 5, TookMillis: 600}}
+var countsOfLandedBuilds = []dispatch.Count{{Key: 7, Requests: 3, Demand: 40}, {Key: 9, Requests: 1, Demand: 2, Ended: 5, ResidenceMillis: 600}}
 
 // Every build reads the questions and answers of the builds that landed before it.
 func TestQuestionsAndAnswersOfLandedBuildsAreRead(t *testing.T) {
--- a/internal/collect/message.go
+++ b/internal/collect/message.go
@@ -50,10 +50,10 @@
 			requests++
 		}
 		bytes = binary.AppendUvarint(bytes, requests)
-		bytes = binary.AppendUvarint(bytes, uint64(each.Wanted))
+		bytes = binary.AppendUvarint(bytes, uint64(each.Demand))
 		if each.Ended > 0 {
 			bytes = binary.AppendUvarint(bytes, uint64(each.Ended))
-			bytes = binary.AppendUvarint(bytes, uint64(each.TookMillis))
+			bytes = binary.AppendUvarint(bytes, uint64(each.ResidenceMillis))
 		}
 	}
 	return bytes
@@ -78,10 +78,10 @@
 		count := dispatch.Count{Key: rest.key()}
 		requests := rest.number()
 		count.Requests = requests / 2
-		count.Wanted = rest.number()
+		count.Demand = rest.number()
 		if requests%2 == 1 {
 			count.Ended = rest.number()
-			count.TookMillis = rest.number()
+			count.ResidenceMillis = rest.number()
 		}
 		if rest.failed {
 			return nil, errPacked
--- a/internal/collect/service_test.go
+++ b/internal/collect/service_test.go
@@ -41,7 +41,7 @@
 }
 
 // Counts has one request under way at the same back end for every gateway.
-func (n *node) Counts() []dispatch.Count { return []dispatch.Count{{Key: 7, Requests: 1, Wanted: 3}} }
+func (n *node) Counts() []dispatch.Count { return []dispatch.Count{{Key: 7, Requests: 1, Demand: 3}} }
 
 func (n *node) TakeTotals(_ []dispatch.Count, totals dispatch.Totals) {
 	n.mutex.Lock()
--- a/internal/collect/sums_test.go
+++ b/internal/collect/sums_test.go
@@ -25,7 +25,7 @@
 			var counts []dispatch.Count
 			for key := range uint32(4) {
 				if requests := rapid.Uint32Range(0, 3).Draw(t, "requests"); requests > 0 {
-					counts = append(counts, dispatch.Count{Key: key, Requests: requests, Wanted: 2 * requests})
+					counts = append(counts, dispatch.Count{Key: key, Requests: requests, Demand: 2 * requests})
 				}
 			}
 			last[id] = source[dispatch.Count]{at: now, told: counts}
@@ -47,7 +47,7 @@
 				t.Fatalf("%d gateways and %d keys, want %d and %d", got.Counted, len(got.Counts), counted, len(want))
 			}
 			for _, each := range got.Counts {
-				if each.Requests != want[each.Key] || each.Wanted != 2*want[each.Key] {
+				if each.Requests != want[each.Key] || each.Demand != 2*want[each.Key] {
 					t.Fatalf("%v, want %d requests", each, want[each.Key])
 				}
 			}
@@ -110,11 +110,11 @@
 		for range rapid.IntRange(0, 20).Draw(t, "count") {
 			counts = append(counts, dispatch.Count{
 				Key: rapid.Uint32Range(0, 1<<dispatch.CountKeyBits-1).Draw(t, "key"), Requests: rapid.Uint32Range(0, mostCount/2-1).Draw(t, "requests"),
-				Wanted: rapid.Uint32Range(0, mostCount).Draw(t, "wanted"),
+				Demand: rapid.Uint32Range(0, mostCount).Draw(t, "wanted"),
 			})
 			if rapid.Bool().Draw(t, "some ended") {
 				counts[len(counts)-1].Ended = rapid.Uint32Range(1, mostCount).Draw(t, "ended")
-				counts[len(counts)-1].TookMillis = rapid.Uint32Range(0, mostCount).Draw(t, "took")
+				counts[len(counts)-1].ResidenceMillis = rapid.Uint32Range(0, mostCount).Draw(t, "took")
 			}
 		}
 		read, err := pack(counts).unpack()
@@ -125,7 +125,7 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	f.Add([]byte(pack([]dispatch.Count{{Key: 1, Requests: 2, Wanted: 300}})))
+	f.Add([]byte(pack([]dispatch.Count{{Key: 1, Requests: 2, Demand: 300}})))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		counts, err := packed(raw).unpack()
@@ -133,7 +133,7 @@
 			return
 		}
 		for _, each := range counts {
-			if each.Requests > mostCount || each.Wanted > mostCount {
+			if each.Requests > mostCount || each.Demand > mostCount {
 				t.Fatalf("%v is out of range", each)
 			}
 		}
@@ -147,7 +147,7 @@
 	const backEnds, gateways = 660, 340
 	totals := dispatch.Totals{Counted: gateways, Expected: gateways}
 	for key := range uint32(backEnds) {
-		totals.Counts = append(totals.Counts, dispatch.Count{Key: 1<<23 + key, Requests: 8, Wanted: 104, Ended: 3})
+		totals.Counts = append(totals.Counts, dispatch.Count{Key: 1<<23 + key, Requests: 8, Demand: 104, Ended: 3})
 	}
 	raw, err := encodeAnswer(totals)
 	is.NoErr(err)
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -14,9 +14,9 @@
 			core.SetGateways(103)
 			counts := make([]Count, members)
 			for i := range counts {
-				counts[i] = Count{Key: CountKey(core.pools["s"].members[i].backEnd.ID), Requests: 4, Wanted: 60}
+				counts[i] = Count{Key: CountKey(core.pools["s"].members[i].backEnd.ID), Requests: 4, Demand: 60}
 			}
-			core.TakeTotals(start, nil, Totals{Counts: counts, Counted: 103, Expected: 103})
+			core.ApplyTotals(start, nil, Totals{Counts: counts, Counted: 103, Expected: 103})
 			requests := make([]Request, 512)
 			for i := range requests {
 				requests[i] = request(repeatable(1), fmt.Sprint("r", i), Part{ID: fmt.Sprint("p", i%200), Tokens: 9000}, Part{ID: "own"})
--- a/internal/dispatch/copying.go
+++ b/internal/dispatch/copying.go
@@ -10,16 +10,16 @@
 const (
 	// newcomerLead is how much longer than the target the source must have been known for
 	// the target to count as one that took its place.
-	newcomerLead = 10 * time.Second
+	newcomerAgeGap = 10 * time.Second
 	// holdersSettle is how long after its start a gateway doesn't know who holds what, or
 	// which members are newcomers: its peers tell within seconds, or have restarted as well.
-	holdersSettle = 10 * time.Second
+	holderLearningTime = 10 * time.Second
 )
 
 // fetchSource returns the address of a back end from which the chosen one can copy the
 // prompt's shared parts instead of reading them, or "": the last one known to have read all
 // of them, else the likeliest.
-func (c *Core) fetchSource(now time.Time, x *Exchange, chosen *member) string {
+func (c *Core) copySource(now time.Time, x *Exchange, chosen *member) string {
 	part := x.request.affinity()
 	if part == "" || c.config.Disabled[Copying] {
 		return ""
@@ -27,11 +27,11 @@
 	if m := c.usableHolder(now, keyOf(part), chosen); m != nil {
 		return m.backEnd.Address
 	}
-	first, isBefore := c.firstInOrder(now, x, chosen)
+	first, isBefore := c.firstRanked(now, x, chosen)
 	if first == nil {
 		return ""
 	}
-	if !isBefore && c.knowsPlaceOf(now, chosen, first) {
+	if !isBefore && c.hasLongRankedFirst(now, chosen, first) {
 		if m := c.prefixHolder(now, x, chosen); m != nil {
 			return m.backEnd.Address
 		}
@@ -41,22 +41,22 @@
 
 // knowsPlaceOf tells whether the target, which is the first in order, has been so for long,
 // as far as this gateway can tell: then the next in order read nothing in its place.
-func (c *Core) knowsPlaceOf(now time.Time, target, next *member) bool {
-	isNewcomer := target.since.Sub(next.since) >= newcomerLead
-	return !isNewcomer && now.Sub(c.listedAt) >= holdersSettle
+func (c *Core) hasLongRankedFirst(now time.Time, target, next *member) bool {
+	isNewcomer := target.firstSeen.Sub(next.firstSeen) >= newcomerAgeGap
+	return !isNewcomer && now.Sub(c.listedAt) >= holderLearningTime
 }
 
 // mayCopyFrom tells whether a back end can be a source for the target.
-func mayCopyFrom(now time.Time, m, target *member) bool {
+func canCopyFrom(now time.Time, m, target *member) bool {
 	return m != nil && m != target && m.health.reachable(now)
 }
 
 // usableHolder returns the back end that was last known to have read the part and that the
 // target can copy from, or nil.
 func (c *Core) usableHolder(now time.Time, part partKey, target *member) *member {
-	for _, holder := range c.holders.holding(now, part) {
-		m := c.present(now, holder.ID)
-		if mayCopyFrom(now, m, target) && m.backEnd.Incarnation().IsSame(holder) {
+	for _, holder := range c.holders.holdersOf(now, part) {
+		m := c.presentMember(now, holder.ID)
+		if canCopyFrom(now, m, target) && m.backEnd.Incarnation().IsSame(holder) {
 			return m
 		}
 	}
@@ -66,14 +66,14 @@
 // firstInOrder returns the first in rendezvous order of all members that the target can copy
 // from, leaving ones included, and whether it comes before the target. After all gateways
 // have restarted, or where the target has joined, it is the one that read the part.
-func (c *Core) firstInOrder(now time.Time, x *Exchange, target *member) (first *member, isBefore bool) {
+func (c *Core) firstRanked(now time.Time, x *Exchange, target *member) (first *member, isBefore bool) {
 	isBefore = true
-	c.order.ranking.rank(x.request.affinity(), c.poolOf(now, x.service), func(*member) bool { return false })
+	c.order.ranking.rank(x.request.affinity(), c.poolMembers(now, x.service), func(*member) bool { return false })
 	for m := c.order.ranking.next(); m != nil; m = c.order.ranking.next() {
 		if m == target {
 			isBefore = false
 		}
-		if mayCopyFrom(now, m, target) {
+		if canCopyFrom(now, m, target) {
 			return m, isBefore
 		}
 	}
--- a/internal/dispatch/copying_test.go
+++ b/internal/dispatch/copying_test.go
@@ -9,8 +9,8 @@
 )
 
 // continued returns a request whose prompt begins with a part that many share.
-func continued(id, beginning, part string) Request {
-	return request(repeatable(1), id, Part{ID: beginning, Tokens: 300}, Part{ID: part, Tokens: 9000}, Part{ID: "own" + id, Tokens: 100})
+func promptWithPrefix(id, prefix, part string) Request {
+	return request(repeatable(1), id, Part{ID: prefix, Tokens: 300}, Part{ID: part, Tokens: 9000}, Part{ID: "own" + id, Tokens: 100})
 }
 
 // send plays a request to its end and returns the attempt.
@@ -26,20 +26,20 @@
 
 // longLived returns a core that has known its back ends for long. Deadlines of requests are
 // counted from the beginning, so it is that which lies further back.
-func longLived(count int) *Core {
+func newSettledCore(count int) *Core {
 	core := newCore(backEnds(count, 64))
 	core.listedAt = start.Add(-time.Hour)
 	return core
 }
 
 // While caches fill, each back end meets the same beginnings with ever new continuations.
-func TestBeginningIsCopiedWhereNobodyHoldsTheRest(t *testing.T) {
+func TestPrefixIsCopiedWhenNoBackEndHoldsTheRest(t *testing.T) {
 	is := is.New(t)
-	core := longLived(9)
-	first := send(start, core, continued("a", "beginning", "part0"))
+	core := newSettledCore(9)
+	first := send(start, core, promptWithPrefix("a", "beginning", "part0"))
 	elsewhere := 0
 	for i := 1; i < 30; i++ {
-		next := send(start, core, continued(fmt.Sprint("b", i), "beginning", fmt.Sprint("part", i)))
+		next := send(start, core, promptWithPrefix(fmt.Sprint("b", i), "beginning", fmt.Sprint("part", i)))
 		if next.BackEnd.ID == first.BackEnd.ID {
 			continue
 		}
@@ -51,37 +51,37 @@
 
 // A gateway that has just started can't tell that nobody holds a prompt: the next in order
 // may have read all of it, which is more than a beginning.
-func TestStartedGatewayCopiesFromTheNextInOrder(t *testing.T) {
+func TestRestartedGatewayCopiesFromNextRankedBackEnd(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(9, 64))
 	for i := range 30 {
 		part := fmt.Sprint("part", i)
-		sent := send(start, core, continued(part, "beginning", part))
+		sent := send(start, core, promptWithPrefix(part, "beginning", part))
 		is.Equal(sent.FetchFrom, addressOf(core, rendezvousOrder(core, part)[1]))
 	}
 }
 
 // Peers hear of one holder of a beginning, and pass on the first that they hear of alone.
-func TestOneHolderOfABeginningIsTold(t *testing.T) {
+func TestOnlyOnePrefixHolderIsPublished(t *testing.T) {
 	is := is.New(t)
-	from, to := longLived(9), longLived(9)
+	from, to := newSettledCore(9), newSettledCore(9)
 	for i := range 30 {
-		send(start, from, continued(fmt.Sprint(i), "beginning", fmt.Sprint("part", i)))
+		send(start, from, promptWithPrefix(fmt.Sprint(i), "beginning", fmt.Sprint("part", i)))
 	}
-	tell(start, from, to, 0)
+	gossipHoldings(start, from, to, 0)
 	holder := from.usableHolder(start, keyOf("beginning"), nil)
 	is.Equal(to.usableHolder(start, keyOf("beginning"), nil).backEnd.ID, holder.backEnd.ID)
 	other := rendezvousOrder(to, "beginning")[0]
-	to.PeerHoldings(start, []Holdings{{BackEnd: other, Parts: []uint64{uint64(keyOf("beginning"))}, Tokens: []int{prefixTokens}}})
-	is.Equal(len(to.holders.holding(start, keyOf("beginning"))), 1)
+	to.MergePeerHoldings(start, []Holdings{{BackEnd: other, Parts: []uint64{uint64(keyOf("beginning"))}, Tokens: []int{prefixTokens}}})
+	is.Equal(len(to.holders.holdersOf(start, keyOf("beginning"))), 1)
 }
 
 // A beginning whose holder has gone is noted at the next one.
-func TestBeginningFindsAnotherHolder(t *testing.T) {
+func TestPrefixGetsNewHolderAfterItsHolderIsGone(t *testing.T) {
 	is := is.New(t)
 	list := backEnds(9, 64)
 	core := newCore(list)
-	first := send(start, core, continued("a", "beginning", "part0"))
+	first := send(start, core, promptWithPrefix("a", "beginning", "part0"))
 	for i, each := range list {
 		if each.ID == first.BackEnd.ID {
 			list = append(list[:i:i], list[i+1:]...)
@@ -90,24 +90,24 @@
 	}
 	core.SetBackEnds(start, list)
 	now := start.Add(2 * core.config.LapseTime)
-	second := send(now, core, continued("b", "beginning", "part1"))
+	second := send(now, core, promptWithPrefix("b", "beginning", "part1"))
 	is.Equal(core.usableHolder(now, keyOf("beginning"), nil).backEnd.ID, second.BackEnd.ID)
 }
 
 // A member that joined took the place of the next in order, which may have read all of the
 // prompt: more than its beginning.
-func TestNewcomerCopiesFromTheOneWhosePlaceItTook(t *testing.T) {
+func TestNewcomerCopiesFromPreviouslyFirstRankedBackEnd(t *testing.T) {
 	is := is.New(t)
-	core := longLived(6)
-	joined := start.Add(newcomerLead)
+	core := newSettledCore(6)
+	joined := start.Add(newcomerAgeGap)
 	core.SetBackEnds(joined, backEnds(9, 64))
-	send(start, core, continued("a", "beginning", "first"))
+	send(start, core, promptWithPrefix("a", "beginning", "first"))
 	taken := 0
 	for i := range 60 {
 		part := fmt.Sprint("other", i)
 		order := rendezvousOrder(core, part)
-		sent := send(start, core, continued(part, "beginning", part))
-		if sent.BackEnd.ID != order[0] || !core.members[order[0]].since.Equal(joined) || core.members[order[1]].since.Equal(joined) {
+		sent := send(start, core, promptWithPrefix(part, "beginning", part))
+		if sent.BackEnd.ID != order[0] || !core.members[order[0]].firstSeen.Equal(joined) || core.members[order[1]].firstSeen.Equal(joined) {
 			continue
 		}
 		taken++
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -21,13 +21,13 @@
 	suspected *lru.Cache[Fingerprint, *crashRecord]
 	withheld  *lru.Cache[Fingerprint, *crashRecord]
 	// untold are crashes that may yet turn out to be none, the oldest first.
-	untold []untoldCrash
+	unpublished []unpublishedCrash
 	// brokeAt is when requests last broke off at incarnations that weren't heard of since.
-	brokeAt map[incarnationKey]time.Time
+	lostAt map[incarnationKey]time.Time
 	// changes numbers the changes that peers are told of.
 	changes uint64
 	// changed are the contents that became withheld, or are no longer, since they were taken.
-	changed []WithheldChange
+	withheldChanges []WithheldChange
 }
 
 // incarnationKey stands for one life of a back end among gateways: its ID and its start.
@@ -44,11 +44,11 @@
 	// confirmed: no connection could be made since, or another incarnation was met.
 	confirmed
 	// acquitted: the same content has been answered whole since.
-	acquitted
+	cleared
 )
 
 // counts tells whether the evidence speaks against the content.
-func (e evidence) counts() bool { return e == presumed || e == confirmed }
+func (e evidence) countsAsCrash() bool { return e == presumed || e == confirmed }
 
 const (
 	// crashesToWithhold is the number of back ends that must have crashed under a content
@@ -58,15 +58,15 @@
 	// crashesPerRecord bounds those remembered of a content.
 	crashesPerRecord = 8
 	// rememberedSuspects and rememberedWithheld bound the contents.
-	rememberedSuspects = 1024
-	rememberedWithheld = 4096
+	maxSuspected = 1024
+	maxWithheld  = 4096
 	// crashSettles is how long a presumed crash isn't told: a back end that only dropped
 	// connections answers something meanwhile, and hundreds of records needn't be told.
-	crashSettles = 500 * time.Millisecond
+	crashPublishDelay = 500 * time.Millisecond
 	// mostBroken bounds the incarnations that are waited for.
-	mostBroken = 4096
+	maxAwaited = 4096
 	// withheldTime is how long a content is withheld after the last crash under it.
-	withheldTime = 24 * time.Hour
+	withholdTime = 24 * time.Hour
 )
 
 // crash is one back end's end under requests of a content.
@@ -75,8 +75,8 @@
 	evidence    evidence
 	// isTold is false while it may yet turn out to be none, and isOwn is true where this
 	// gateway observed it itself.
-	isTold bool
-	isOwn  bool
+	isPublished bool
+	isLocal     bool
 }
 
 // crashRecord is what is known of one content.
@@ -90,22 +90,22 @@
 }
 
 // untoldCrash names a crash that isn't told yet.
-type untoldCrash struct {
+type unpublishedCrash struct {
 	fingerprint Fingerprint
 	incarnation incarnationKey
-	until       time.Time
+	publishAt   time.Time
 }
 
 func newCrashMemory() *crashMemory {
-	suspected, err := lru.New[Fingerprint, *crashRecord](rememberedSuspects)
+	suspected, err := lru.New[Fingerprint, *crashRecord](maxSuspected)
 	if err != nil {
 		panic(err) // the size is fixed and above 0
 	}
-	withheld, err := lru.New[Fingerprint, *crashRecord](rememberedWithheld)
+	withheld, err := lru.New[Fingerprint, *crashRecord](maxWithheld)
 	if err != nil {
 		panic(err) // the size is fixed and above 0
 	}
-	return &crashMemory{suspected: suspected, withheld: withheld, brokeAt: map[incarnationKey]time.Time{}}
+	return &crashMemory{suspected: suspected, withheld: withheld, lostAt: map[incarnationKey]time.Time{}}
 }
 
 // isEmpty tells whether nothing is known of any content.
@@ -120,7 +120,7 @@
 }
 
 // obtain returns the record of a content, a new one if need be.
-func (m *crashMemory) obtain(fingerprint Fingerprint) *crashRecord {
+func (m *crashMemory) getOrCreate(fingerprint Fingerprint) *crashRecord {
 	record := m.get(fingerprint)
 	if record == nil {
 		record = &crashRecord{fingerprint: fingerprint}
@@ -130,130 +130,130 @@
 }
 
 // broke notes that a request of the content broke off at the incarnation.
-func (m *crashMemory) broke(now time.Time, fingerprint Fingerprint, at incarnationKey) {
-	record := m.obtain(fingerprint)
+func (m *crashMemory) connectionLost(now time.Time, fingerprint Fingerprint, of incarnationKey) {
+	record := m.getOrCreate(fingerprint)
 	record.lastAt = now
-	if len(m.brokeAt) >= mostBroken {
-		clear(m.brokeAt)
+	if len(m.lostAt) >= maxAwaited {
+		clear(m.lostAt)
 	}
-	m.brokeAt[at] = now
-	if record.raise(crash{incarnation: at, evidence: presumed, isOwn: true}) {
-		m.untold = append(m.untold, untoldCrash{fingerprint: fingerprint, incarnation: at, until: now.Add(crashSettles)})
+	m.lostAt[of] = now
+	if record.raise(crash{incarnation: of, evidence: presumed, isLocal: true}) {
+		m.unpublished = append(m.unpublished, unpublishedCrash{fingerprint: fingerprint, incarnation: of, publishAt: now.Add(crashPublishDelay)})
 	}
 	m.classify(record, false)
 }
 
 // isBroken tells whether requests broke off at the incarnation, and nothing was heard of it since.
-func (m *crashMemory) isBroken(at incarnationKey) bool {
-	_, broken := m.brokeAt[at]
-	return broken
+func (m *crashMemory) isAwaited(of incarnationKey) bool {
+	_, awaited := m.lostAt[of]
+	return awaited
 }
 
 // answered notes that the incarnation answered a request that was sent at the time, and tells
 // whether requests had broken off there and nothing was heard of it for crashSettles since.
-func (m *crashMemory) answered(now time.Time, by incarnationKey, sentAt time.Time) (wasAway bool) {
-	brokeAt, waited := m.brokeAt[by]
-	if !waited || !sentAt.After(brokeAt) {
+func (m *crashMemory) answered(now time.Time, of incarnationKey, sentAt time.Time) (wasAway bool) {
+	lostAt, awaited := m.lostAt[of]
+	if !awaited || !sentAt.After(lostAt) {
 		return false
 	}
-	delete(m.brokeAt, by)
-	m.judge(by, survived)
-	return now.Sub(brokeAt) >= crashSettles
+	delete(m.lostAt, of)
+	m.raiseEvidence(of, survived)
+	return now.Sub(lostAt) >= crashPublishDelay
 }
 
 // confirm notes that the incarnation is no longer there, and tells whether requests broke off
 // at it before.
-func (m *crashMemory) confirm(of incarnationKey) bool {
-	if _, waited := m.brokeAt[of]; !waited {
+func (m *crashMemory) confirmGone(of incarnationKey) bool {
+	if _, awaited := m.lostAt[of]; !awaited {
 		return false
 	}
-	delete(m.brokeAt, of)
-	m.judge(of, confirmed)
+	delete(m.lostAt, of)
+	m.raiseEvidence(of, confirmed)
 	return true
 }
 
 // judge raises the evidence of all crashes of the incarnation.
-func (m *crashMemory) judge(of incarnationKey, found evidence) {
+func (m *crashMemory) raiseEvidence(of incarnationKey, found evidence) {
 	for _, record := range m.records() {
 		at := record.index(of)
 		if at < 0 {
 			continue
 		}
-		if found == survived && !record.crashes[at].isTold {
+		if found == survived && !record.crashes[at].isPublished {
 			record.crashes = slices.Delete(record.crashes, at, at+1)
 			m.classify(record, false)
 			continue
 		}
 		if record.crashes[at].evidence == presumed {
-			record.raise(crash{incarnation: of, evidence: found, isTold: true})
-			m.note(record)
+			record.raise(crash{incarnation: of, evidence: found, isPublished: true})
+			m.markChanged(record)
 			m.classify(record, false)
 		}
 	}
 }
 
 // acquit notes that a request of the content was answered whole.
-func (m *crashMemory) acquit(fingerprint Fingerprint) {
+func (m *crashMemory) clearContent(fingerprint Fingerprint) {
 	record := m.get(fingerprint)
 	if record == nil {
 		return
 	}
 	raised := false
 	for _, each := range record.crashes {
-		raised = record.raise(crash{incarnation: each.incarnation, evidence: acquitted, isTold: true}) || raised
+		raised = record.raise(crash{incarnation: each.incarnation, evidence: cleared, isPublished: true}) || raised
 	}
 	if raised {
-		m.note(record)
+		m.markChanged(record)
 		m.classify(record, false)
 	}
 }
 
 // settle lets peers be told of the crashes whose time to turn out to be none has passed.
-func (m *crashMemory) settle(now time.Time) {
-	for len(m.untold) > 0 && !now.Before(m.untold[0].until) {
-		due := m.untold[0]
-		m.untold = m.untold[1:]
+func (m *crashMemory) publishDue(now time.Time) {
+	for len(m.unpublished) > 0 && !now.Before(m.unpublished[0].publishAt) {
+		due := m.unpublished[0]
+		m.unpublished = m.unpublished[1:]
 		record := m.get(due.fingerprint)
 		if record == nil {
 			continue
 		}
-		if at := record.index(due.incarnation); at >= 0 && !record.crashes[at].isTold {
-			record.crashes[at].isTold = true
-			m.note(record)
+		if at := record.index(due.incarnation); at >= 0 && !record.crashes[at].isPublished {
+			record.crashes[at].isPublished = true
+			m.markChanged(record)
 		}
 	}
 }
 
 // merge takes what a peer told of a content.
-func (m *crashMemory) merge(now time.Time, told CrashRecord) {
-	record := m.obtain(told.Fingerprint)
+func (m *crashMemory) merge(now time.Time, received CrashRecord) {
+	record := m.getOrCreate(received.Fingerprint)
 	raised := false
-	for i, each := range told.Incarnations[:min(len(told.Incarnations), len(told.Evidence))] {
-		found := evidence(told.Evidence[i])
-		if found < presumed || found > acquitted {
+	for i, each := range received.Incarnations[:min(len(received.Incarnations), len(received.Evidence))] {
+		found := evidence(received.Evidence[i])
+		if found < presumed || found > cleared {
 			continue
 		}
-		raised = record.raise(crash{incarnation: incarnationKey(each), evidence: found, isTold: true}) || raised
+		raised = record.raise(crash{incarnation: incarnationKey(each), evidence: found, isPublished: true}) || raised
 	}
-	if at := time.Unix(min(told.LastAt, now.Unix()), 0); at.After(record.lastAt) {
+	if at := time.Unix(min(received.LastAt, now.Unix()), 0); at.After(record.lastAt) {
 		record.lastAt = at
 	}
 	if raised {
-		m.note(record)
+		m.markChanged(record)
 		m.classify(record, true)
 	}
 }
 
 // note numbers a change of the record.
-func (m *crashMemory) note(record *crashRecord) {
+func (m *crashMemory) markChanged(record *crashRecord) {
 	m.changes++
 	record.change = m.changes
 }
 
 // classify keeps the record among the withheld ones or the others; isTold is true after a peer's
 // word.
-func (m *crashMemory) classify(record *crashRecord, isTold bool) {
-	fingerprint, crashes := record.fingerprint, record.counted()
+func (m *crashMemory) classify(record *crashRecord, isFromPeer bool) {
+	fingerprint, crashes := record.fingerprint, record.crashCount()
 	isWithheld, wasWithheld := crashes >= crashesToWithhold, m.withheld.Contains(fingerprint)
 	if isWithheld == wasWithheld {
 		return
@@ -265,8 +265,8 @@
 		m.withheld.Remove(fingerprint)
 		m.suspected.Add(fingerprint, record)
 	}
-	isOwn := isWithheld && record.hasOwn() || !isWithheld && !isTold
-	m.changed = append(m.changed, WithheldChange{Record: record.whole(), Withheld: isWithheld, Own: isOwn})
+	isOwn := isWithheld && record.hasLocal() || !isWithheld && !isFromPeer
+	m.withheldChanges = append(m.withheldChanges, WithheldChange{Record: record.export(), Withheld: isWithheld, Own: isOwn})
 }
 
 // withholds tells whether requests of the content are withheld.
@@ -275,9 +275,9 @@
 	if !withheld {
 		return false
 	}
-	if now.Sub(record.lastAt) > withheldTime {
+	if now.Sub(record.lastAt) > withholdTime {
 		m.withheld.Remove(fingerprint)
-		m.changed = append(m.changed, WithheldChange{Record: record.whole(), Own: true})
+		m.withheldChanges = append(m.withheldChanges, WithheldChange{Record: record.export(), Own: true})
 		return false
 	}
 	return true
@@ -289,27 +289,27 @@
 
 // since returns at most so many records that changed after the number, in the order of their
 // change, and the number to go on from.
-func (m *crashMemory) since(number uint64, most int) ([]CrashRecord, uint64) {
-	if number >= m.changes {
+func (m *crashMemory) changedSince(cursor uint64, limit int) ([]CrashRecord, uint64) {
+	if cursor >= m.changes {
 		return nil, m.changes
 	}
 	var changed []*crashRecord
 	for _, record := range m.records() {
-		if record.change > number {
+		if record.change > cursor {
 			changed = append(changed, record)
 		}
 	}
 	slices.SortFunc(changed, func(a, b *crashRecord) int { return cmp.Compare(a.change, b.change) })
-	reached := m.changes
-	if len(changed) > most {
-		changed = changed[:most]
-		reached = changed[most-1].change
+	next := m.changes
+	if len(changed) > limit {
+		changed = changed[:limit]
+		next = changed[limit-1].change
 	}
 	list := make([]CrashRecord, len(changed))
 	for i, record := range changed {
-		list[i] = record.told()
+		list[i] = record.published()
 	}
-	return list, reached
+	return list, next
 }
 
 func (r *crashRecord) index(of incarnationKey) int {
@@ -324,7 +324,7 @@
 		if r.crashes[at].evidence >= found.evidence {
 			return false
 		}
-		found.isOwn = found.isOwn || r.crashes[at].isOwn
+		found.isLocal = found.isLocal || r.crashes[at].isLocal
 		r.crashes[at] = found
 		return true
 	}
@@ -332,8 +332,8 @@
 		r.crashes = append(r.crashes, found)
 		return true
 	}
-	spare := slices.IndexFunc(r.crashes, func(each crash) bool { return !each.evidence.counts() })
-	if spare < 0 || !found.evidence.counts() {
+	spare := slices.IndexFunc(r.crashes, func(each crash) bool { return !each.evidence.countsAsCrash() })
+	if spare < 0 || !found.evidence.countsAsCrash() {
 		return false
 	}
 	r.crashes[spare] = found
@@ -341,15 +341,15 @@
 }
 
 // hasOwn tells whether this gateway observed any of the crashes.
-func (r *crashRecord) hasOwn() bool {
-	return slices.ContainsFunc(r.crashes, func(each crash) bool { return each.isOwn })
+func (r *crashRecord) hasLocal() bool {
+	return slices.ContainsFunc(r.crashes, func(each crash) bool { return each.isLocal })
 }
 
 // counted returns the number of crashes that speak against the content.
-func (r *crashRecord) counted() int {
+func (r *crashRecord) crashCount() int {
 	count := 0
 	for _, each := range r.crashes {
-		if each.evidence.counts() {
+		if each.evidence.countsAsCrash() {
 			count++
 		}
 	}
@@ -357,20 +357,20 @@
 }
 
 // told returns what peers are told: all but the crashes that may yet turn out to be none.
-func (r *crashRecord) told() CrashRecord {
-	return r.with(func(each crash) bool { return each.isTold })
+func (r *crashRecord) published() CrashRecord {
+	return r.filtered(func(each crash) bool { return each.isPublished })
 }
 
 // whole returns all that is known.
-func (r *crashRecord) whole() CrashRecord { return r.with(func(crash) bool { return true }) }
+func (r *crashRecord) export() CrashRecord { return r.filtered(func(crash) bool { return true }) }
 
-func (r *crashRecord) with(includes func(crash) bool) CrashRecord {
-	told := CrashRecord{Fingerprint: r.fingerprint, LastAt: r.lastAt.Unix()}
+func (r *crashRecord) filtered(includes func(crash) bool) CrashRecord {
+	exported := CrashRecord{Fingerprint: r.fingerprint, LastAt: r.lastAt.Unix()}
 	for _, each := range r.crashes {
 		if includes(each) {
-			told.Incarnations = append(told.Incarnations, uint32(each.incarnation))
-			told.Evidence = append(told.Evidence, uint8(each.evidence))
+			exported.Incarnations = append(exported.Incarnations, uint32(each.incarnation))
+			exported.Evidence = append(exported.Evidence, uint8(each.evidence))
 		}
 	}
-	return told
+	return exported
 }
--- a/internal/dispatch/disable.go
+++ b/internal/dispatch/disable.go
@@ -13,13 +13,13 @@
 	RespectLeaving Mechanism = "leaving"
 	// HeedNotices keeps requests from back ends whose answers say that they leave, or that they
 	// want to be left alone.
-	HeedNotices Mechanism = "notices"
+	RespectNotices Mechanism = "notices"
 	// RespectEvacuations keeps new work from the zones that operators evacuate.
 	RespectEvacuations Mechanism = "evacuations"
 	// WarmUpLimit keeps back ends that warm up within the rate that they bear.
 	WarmUpLimit Mechanism = "warm-up-limit"
 	// OwnAnswers drops answers to other requests and those without a back end's mark.
-	OwnAnswers Mechanism = "own-answers"
+	VerifyAnswers Mechanism = "own-answers"
 	// FollowConfiguration adopts versions after the first.
 	FollowConfiguration Mechanism = "configuration"
 	// FollowEras orders what the platform's store says by its era before its revision.
@@ -40,9 +40,9 @@
 	// HoldersFirst prefers back ends that are believed to hold the parts.
 	HoldersFirst Mechanism = "holders-first"
 	// HoldersTold passes on to peers, and takes from them, who holds what.
-	HoldersTold Mechanism = "holders-told"
+	ShareHoldings Mechanism = "holders-told"
 	// EvenMemory gives new homes where less is held once memory is scarce.
-	EvenMemory Mechanism = "even-memory"
+	BalanceMemory Mechanism = "even-memory"
 	// Copying names a back end to copy a prompt's parts from.
 	Copying Mechanism = "copying"
 	// PrefixCopies copies the beginning of a prompt where nobody holds the rest.
@@ -50,19 +50,19 @@
 	// LoadBound keeps a caching back end's load within the bound.
 	LoadBound Mechanism = "load-bound"
 	// Lots shares the room near the bound among gateways.
-	Lots Mechanism = "lots"
+	AdmissionLottery Mechanism = "lots"
 	// PeersSince takes peers to have sent as much as this gateway since their word.
-	PeersSince Mechanism = "peers-since"
+	ExtrapolatePeers Mechanism = "peers-since"
 	// Spread draws among members by lot where loads are known late.
 	Spread Mechanism = "spread"
 	// UrgencySteps refuses the least urgent requests first.
 	UrgencySteps Mechanism = "urgency-steps"
 	// EngineRank tells back ends the urgency of a request.
-	EngineRank Mechanism = "engine-rank"
+	EnginePriority Mechanism = "engine-rank"
 	// Ejection leaves failing back ends alone for a while.
 	Ejection Mechanism = "ejection"
 	// Silence takes back ends that let requests wait for silent.
-	Silence Mechanism = "silence"
+	SilenceDetection Mechanism = "silence"
 	// Trials tries back ends one request at a time after an ejection.
 	Trials Mechanism = "trials"
 	// WholePool uses all of a pool when most of it is in trouble.
@@ -74,28 +74,28 @@
 	// OwnZone prefers the own zone among equally loaded back ends.
 	OwnZone Mechanism = "own-zone"
 	// LateRefusal refuses some requests at once while the process runs late.
-	LateRefusal Mechanism = "late-refusal"
+	LoadShedding Mechanism = "late-refusal"
 	// FurtherAttempts tries another back end after one failed.
-	FurtherAttempts Mechanism = "further-attempts"
+	Retries Mechanism = "further-attempts"
 	// Resumption continues broken streams at another back end.
 	Resumption Mechanism = "resumption"
 )
 
 // Promises lists the mechanisms without which a promise is broken.
 func Promises() []Mechanism {
-	return []Mechanism{AtMostOnce, RespectLeaving, HeedNotices, RespectEvacuations, WarmUpLimit, OwnAnswers, FollowConfiguration, RetryBudget, Withholding, FollowEras, Exposure}
+	return []Mechanism{AtMostOnce, RespectLeaving, RespectNotices, RespectEvacuations, WarmUpLimit, VerifyAnswers, FollowConfiguration, RetryBudget, Withholding, FollowEras, Exposure}
 }
 
 // Choices lists the mechanisms without which callers are served worse.
-func Choices() []Mechanism {
+func Optimizations() []Mechanism {
 	return []Mechanism{
-		Affinity, HoldersFirst, HoldersTold, EvenMemory, Copying, PrefixCopies, LoadBound, Lots, PeersSince, Spread, UrgencySteps,
-		EngineRank, Ejection, Silence, Trials, WholePool, Lapse, FailingPaths, OwnZone, LateRefusal, FurtherAttempts, Resumption,
+		Affinity, HoldersFirst, ShareHoldings, BalanceMemory, Copying, PrefixCopies, LoadBound, AdmissionLottery, ExtrapolatePeers, Spread, UrgencySteps,
+		EnginePriority, Ejection, SilenceDetection, Trials, WholePool, Lapse, FailingPaths, OwnZone, LoadShedding, Retries, Resumption,
 	}
 }
 
 // Mechanisms lists all of them.
-func Mechanisms() []Mechanism { return append(Promises(), Choices()...) }
+func Mechanisms() []Mechanism { return append(Promises(), Optimizations()...) }
 
 // Disabled is the set of mechanisms that are switched off.
 type Disabled map[Mechanism]bool
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -85,28 +85,28 @@
 	// usable, order and shares are reused by each decision.
 	usable []*member
 	// unspent is usable without members that may get nothing; see withoutSpent.
-	unspent []*member
-	order   preference
-	shares  []share
+	withQuota []*member
+	order     preference
+	shares    []share
 	// paces are those of the services.
-	paces    map[string]*pace
-	holders  *holderMemory
-	paths    *pathMemory
-	crashes  *crashMemory
-	budgets  map[string]*limits.ShareOfBudget
-	gateways int
-	changes  []HealthChange
-	lag      time.Duration
+	localResidences map[string]*localResidence
+	holders         *holderMemory
+	paths           *pathMemory
+	crashes         *crashMemory
+	budgets         map[string]*limits.ShareOfBudget
+	gateways        int
+	healthChanges   []HealthChange
+	lag             time.Duration
 	// evacuated are the zones whose back ends get nothing new, and restored those whose
 	// order was taken back, until the next one.
 	evacuated []string
 	restored  map[string]restoration
-	draw      draw
+	selection gatewaySelection
 	rollouts  rollouts
 	// displaced are lives that have ended though they are listed, and leaving those whose
 	// answers have said that they leave.
-	displaced lifeSet
-	leaving   lifeSet
+	displaced incarnationLog
+	leaving   incarnationLog
 }
 
 // HealthChange is a changed belief on a back end.
@@ -122,21 +122,21 @@
 
 // TakeHealthChanges returns the changed beliefs since the last call.
 func (c *Core) TakeHealthChanges() []HealthChange {
-	changes := c.changes
-	c.changes = nil
+	changes := c.healthChanges
+	c.healthChanges = nil
 	return changes
 }
 
 // noteHealth records a change of the member's health since it was last noted.
-func (c *Core) noteHealth(now time.Time, m *member) {
+func (c *Core) recordHealthChange(now time.Time, m *member) {
 	status := m.health.status(now)
-	if status == m.noted {
+	if status == m.loggedHealth {
 		return
 	}
-	c.changes = append(c.changes, HealthChange{
-		BackEnd: m.backEnd.ID, From: m.noted, To: status, Failures: m.health.failures, ErrorRate: m.health.errorRate,
+	c.healthChanges = append(c.healthChanges, HealthChange{
+		BackEnd: m.backEnd.ID, From: m.loggedHealth, To: status, Failures: m.health.consecutiveFailures, ErrorRate: m.health.errorRate,
 	})
-	m.noted = status
+	m.loggedHealth = status
 }
 
 // pool is the back ends of one service, by ID.
@@ -153,17 +153,17 @@
 		lapsed:  map[string]lapsedMember{},
 		peers:   newPeerLoads(),
 
-		restored:       map[string]restoration{},
-		totalsInterval: firstInterval,
-		paces:          map[string]*pace{},
-		holders:        newHolderMemory(),
-		paths:          newPathMemory(),
-		crashes:        newCrashMemory(),
-		budgets:        map[string]*limits.ShareOfBudget{},
-		gateways:       1,
-		rollouts:       newRollouts(config.Rollout),
-		displaced:      newLifeSet(),
-		leaving:        newLifeSet(),
+		restored:        map[string]restoration{},
+		totalsInterval:  initialInterval,
+		localResidences: map[string]*localResidence{},
+		holders:         newHolderMemory(),
+		paths:           newPathMemory(),
+		crashes:         newCrashMemory(),
+		budgets:         map[string]*limits.ShareOfBudget{},
+		gateways:        1,
+		rollouts:        newRollouts(config.Rollout),
+		displaced:       newIncarnationLog(),
+		leaving:         newIncarnationLog(),
 	}
 }
 
@@ -176,7 +176,7 @@
 	members := make(map[string]*member, len(list))
 	pools := map[string]*pool{}
 	for _, backEnd := range list {
-		known := c.remembered(backEnd.Incarnation())
+		known := c.knownMember(backEnd.Incarnation())
 		if known == nil {
 			known = newMember(now, backEnd.ID)
 			known.health.allowance = c.lag
@@ -185,7 +185,7 @@
 		if known.backEnd.Address != backEnd.Address {
 			known.health.displaced = false
 		}
-		c.noteWarming(now, known, backEnd)
+		c.updateWarmUp(now, known, backEnd)
 		known.backEnd = backEnd
 		known.listed = true
 		c.noteDisplaced(known)
@@ -200,7 +200,7 @@
 	c.lapse(now, members)
 	c.members = members
 	c.pools = pools
-	c.noteCandidates(now)
+	c.refreshRollouts(now)
 }
 
 // SetServices replaces what is known of the services as a whole.
@@ -232,7 +232,7 @@
 }
 
 // unbounded is a budget that never ends.
-const unbounded = 1e9
+const unlimitedBudget = 1e9
 
 // budget returns the service's budget for further attempts.
 func (c *Core) budget(service string) *limits.ShareOfBudget {
@@ -240,7 +240,7 @@
 	if budget == nil {
 		extra := c.config.RetryExtra
 		if c.config.Disabled[RetryBudget] {
-			extra = unbounded
+			extra = unlimitedBudget
 		}
 		budget = limits.NewShareOfBudget(c.config.RetryRatio, extra, c.gateways)
 		c.budgets[service] = budget
@@ -259,7 +259,7 @@
 // Loads returns this gateway's own loads for its peers, without zeros.
 func (c *Core) Loads() []Load {
 	var loads []Load
-	c.everyMember(func(m *member) {
+	c.forEachMember(func(m *member) {
 		if m.own > 0 {
 			loads = append(loads, Load{BackEnd: m.backEnd.ID, Requests: m.own})
 		}
@@ -268,12 +268,12 @@
 }
 
 // PeerLoads takes a peer's loads, which replace what it told before.
-func (c *Core) PeerLoads(now time.Time, peer string, loads []Load) {
+func (c *Core) SetPeerLoads(now time.Time, peer string, loads []Load) {
 	c.peers.set(now, peer, loads, c.Loads())
 }
 
 // Belief is what the gateway believes of one back end, for status and logs.
-type Belief struct {
+type BackEndStatus struct {
 	BackEnd catalog.BackEnd
 	Health  Health
 	// Own is this gateway's load, and Estimate that of all gateways.
@@ -286,26 +286,26 @@
 }
 
 // Beliefs returns the beliefs on all back ends by service and ID.
-func (c *Core) Beliefs(now time.Time) []Belief {
-	var beliefs []Belief
+func (c *Core) BackEndStatuses(now time.Time) []BackEndStatus {
+	var statuses []BackEndStatus
 	for _, service := range slices.Sorted(maps.Keys(c.pools)) {
 		for _, m := range c.pools[service].members {
-			beliefs = append(beliefs, Belief{
+			statuses = append(statuses, BackEndStatus{
 				BackEnd:  m.backEnd,
 				Health:   m.health.status(now),
 				Own:      m.own,
 				Estimate: c.estimate(now, m),
 
 				Evacuated: m.evacuated,
-				WarmsUp:   c.warmsUp(now, m),
+				WarmsUp:   c.isWarmingUp(now, m),
 			})
 		}
 	}
-	return beliefs
+	return statuses
 }
 
 // ServiceBelief is what the gateway believes of one service.
-type ServiceBelief struct {
+type ServiceStatus struct {
 	// Name is the service's.
 	Name string
 	// RetryBudget is the number of further attempts left, UnderWay the number of
@@ -318,26 +318,26 @@
 }
 
 // Services returns the beliefs on all services with back ends, by name.
-func (c *Core) Services(now time.Time) []ServiceBelief {
-	var beliefs []ServiceBelief
+func (c *Core) ServiceStatuses(now time.Time) []ServiceStatus {
+	var statuses []ServiceStatus
 	for _, name := range slices.Sorted(maps.Keys(c.pools)) {
-		belief := ServiceBelief{Name: name, RetryBudget: c.budget(name).Tokens(), BackEnds: len(c.pools[name].members)}
+		status := ServiceStatus{Name: name, RetryBudget: c.budget(name).Tokens(), BackEnds: len(c.pools[name].members)}
 		for _, m := range c.pools[name].members {
-			belief.UnderWay += m.own
+			status.UnderWay += m.own
 			if m.health.status(now) != Healthy {
-				belief.Unusable++
+				status.Unusable++
 			}
 		}
-		beliefs = append(beliefs, belief)
+		statuses = append(statuses, status)
 	}
-	return beliefs
+	return statuses
 }
 
 // OldestPeer returns the age of the oldest loads of others that still count, or 0 without
 // any: that of the last totals, or of the oldest among those that peers told.
-func (c *Core) OldestPeer(now time.Time) time.Duration {
+func (c *Core) PeerLoadAge(now time.Time) time.Duration {
 	if c.totalsAreFresh(now) {
 		return now.Sub(c.totalsAt)
 	}
-	return c.peers.oldest(now)
+	return c.peers.oldestAge(now)
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -35,7 +35,7 @@
 	return &catalog.Route{Targets: []catalog.Target{{Service: "s", Weight: 1}}, Repeatable: true, MaxAttempts: attempts, Objective: 300 * time.Millisecond}
 }
 
-func once() *catalog.Route {
+func nonRepeatable() *catalog.Route {
 	route := repeatable(3)
 	route.Repeatable = false
 	return route
@@ -45,75 +45,75 @@
 	return Request{ID: id, Route: route, Path: "/x/" + id, Parts: parts, Deadline: start.Add(time.Minute)}
 }
 
-func TestRequestThatMayHaveRunIsNeverSentAgain(t *testing.T) {
+func TestRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(3, 6))
-	x, decision := core.Begin(start, request(once(), "a"))
+	x, decision := core.Begin(start, request(nonRepeatable(), "a"))
 	is.True(decision.Send != nil)
-	decision = core.Broken(start, x)
+	decision = core.ConnectionLost(start, x)
 	is.True(decision.Send == nil)
 	is.Equal(decision.GiveUp.Kind, failure.BackendFailed) // promises nothing
 }
 
-func TestUnknownOutcomeIsNotCoveredByALaterRefusal(t *testing.T) {
+func TestLaterRefusalDoesNotHideUnknownOutcome(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(3, 6))
 	x, _ := core.Begin(start, request(repeatable(2), "a"))
-	decision := core.Broken(start, x)
+	decision := core.ConnectionLost(start, x)
 	is.True(decision.Send != nil)
 	decision = core.Refused(start, x)
 	is.Equal(decision.GiveUp.Kind, failure.BackendFailed) // the first may have run
 }
 
-func TestRefusalMayBeTriedElsewhere(t *testing.T) {
+func TestRefusedRequestIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(3, 6))
-	x, first := core.Begin(start, request(once(), "a"))
+	x, first := core.Begin(start, request(nonRepeatable(), "a"))
 	second := core.Refused(start, x)
 	is.True(second.Send != nil)
 	is.True(second.Send.BackEnd.ID != first.Send.BackEnd.ID)
 }
 
-func TestAttemptsStayWithinTheRoute(t *testing.T) {
+func TestAttemptsStayWithinRouteLimit(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(5, 6))
 	x, decision := core.Begin(start, request(repeatable(2), "a"))
 	sends := 0
 	for decision.Send != nil {
 		sends++
-		decision = core.Broken(start, x)
+		decision = core.ConnectionLost(start, x)
 	}
 	is.Equal(sends, 2)
 }
 
-func TestLeavingBackEndGetsNothing(t *testing.T) {
+func TestLeavingBackEndGetsNoRequests(t *testing.T) {
 	is := is.New(t)
 	list := backEnds(2, 6)
 	list[0].Leaving = true
 	core := newCore(list)
 	for i := range 20 {
-		x, decision := core.Begin(start, request(once(), fmt.Sprint(i)))
+		x, decision := core.Begin(start, request(nonRepeatable(), fmt.Sprint(i)))
 		is.Equal(decision.Send.BackEnd.ID, "b01")
 		core.Done(start, x)
 	}
 	list[1].Leaving = true
 	core.SetBackEnds(start, list)
-	_, decision := core.Begin(start, request(once(), "last"))
+	_, decision := core.Begin(start, request(nonRepeatable(), "last"))
 	is.Equal(decision.GiveUp.Kind, failure.PoolExhausted)
 }
 
-func TestStreamIsContinuedOnlyWhereTheRouteAllows(t *testing.T) {
+func TestOnlyResumableStreamsAreResumed(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(3, 6))
 	route := repeatable(2)
 	route.Stream = true
 	x, _ := core.Begin(start, request(route, "a"))
 	core.Answered(start, x, -1)
-	is.Equal(core.Cut(start, x).GiveUp.Kind, failure.StreamBroken)
+	is.Equal(core.Truncated(start, x).GiveUp.Kind, failure.StreamBroken)
 	route.Resumable = true
 	x, first := core.Begin(start, request(route, "b"))
 	core.Answered(start, x, -1)
-	next := core.Cut(start, x)
+	next := core.Truncated(start, x)
 	is.True(next.Send != nil)
 	is.True(next.Send.BackEnd.ID != first.Send.BackEnd.ID)
 }
--- a/internal/dispatch/displaced.go
+++ b/internal/dispatch/displaced.go
@@ -11,28 +11,28 @@
 // Displaced notes that another back end, which told its ID, has the address of the one that was
 // meant, and decides what follows.
 func (c *Core) Displaced(now time.Time, x *Exchange) Decision {
-	c.displaced.add(lifeOf(x.current.backEnd))
+	c.displaced.add(addressedIncarnationOf(x.current.backEnd))
 	return c.Misdirected(now, x)
 }
 
 // DisplacedSince returns the lives known to have ended that a peer may lack which was told so
 // many, and the number to go on from.
-func (c *Core) DisplacedSince(told uint64) (lives []uint32, number uint64) {
-	return c.displaced.since(told)
+func (c *Core) DisplacedSince(cursor uint64) (incarnations []uint32, next uint64) {
+	return c.displaced.since(cursor)
 }
 
 // TakeDisplaced takes the lives that a peer knows to have ended, and tells whether any is news.
-func (c *Core) TakeDisplaced(lives []uint32) (isNews bool) {
-	isNews = c.displaced.take(lives)
-	if isNews {
-		c.everyMember(c.noteDisplaced)
+func (c *Core) MergeDisplaced(incarnations []uint32) (added bool) {
+	added = c.displaced.merge(incarnations)
+	if added {
+		c.forEachMember(c.noteDisplaced)
 	}
-	return isNews
+	return added
 }
 
 // noteDisplaced takes a member for gone whose life is known to have ended.
 func (c *Core) noteDisplaced(m *member) {
-	if c.displaced.holds(m.backEnd) {
+	if c.displaced.contains(m.backEnd) {
 		m.health.displaced = true
 	}
 }
--- a/internal/dispatch/evacuation.go
+++ b/internal/dispatch/evacuation.go
@@ -21,7 +21,7 @@
 	for _, each := range restored {
 		c.restored[each.Zone] = restoration{at: now, position: catalog.Position{Era: each.Era, Revision: each.Revision}}
 	}
-	c.everyMember(func(m *member) {
+	c.forEachMember(func(m *member) {
 		m.evacuated = slices.Contains(zones, m.backEnd.Zone)
 		m.coldUntil = later(m.coldUntil, c.coldByRestoration(m.backEnd))
 	})
@@ -40,8 +40,8 @@
 // knowsRestoration tells whether the entry of a back end was written after its zone was
 // restored and tells of a warm-up. One that doesn't may come from before, by a slow watch
 // or an old list, and says nothing of the cold that followed.
-func (c *Core) knowsRestoration(told catalog.BackEnd) bool {
-	return told.WarmUp > 0 && told.WarmUpAt.Compare(c.restored[told.Zone].position) > 0
+func (c *Core) coversRestoration(entry catalog.BackEnd) bool {
+	return entry.WarmUp > 0 && entry.WarmUpAt.Compare(c.restored[entry.Zone].position) > 0
 }
 
 // later returns the later of two times.
--- a/internal/dispatch/evacuation_test.go
+++ b/internal/dispatch/evacuation_test.go
@@ -12,7 +12,7 @@
 )
 
 // inZones returns back ends that lie in the zones by turns.
-func inZones(count, slots int, zones ...string) []catalog.BackEnd {
+func backEndsInZones(count, slots int, zones ...string) []catalog.BackEnd {
 	list := backEnds(count, slots)
 	for i := range list {
 		list[i].Zone = zones[i%len(zones)]
@@ -20,31 +20,31 @@
 	return list
 }
 
-func TestEvacuatedZoneGetsNothingNew(t *testing.T) {
+func TestEvacuatedZoneGetsNoRequests(t *testing.T) {
 	is := is.New(t)
-	core := newCore(inZones(6, 64, "a", "b"))
+	core := newCore(backEndsInZones(6, 64, "a", "b"))
 	core.SetEvacuated(start, []string{"a"}, nil)
 	for i := range 30 {
 		_, decision := core.Begin(start, request(repeatable(2), fmt.Sprint(i), Part{ID: fmt.Sprint("part", i), Tokens: 9000}, Part{ID: "own"}))
 		is.Equal(decision.Send.BackEnd.Zone, "b")
 	}
-	core.SetBackEnds(start, inZones(8, 64, "a", "b")) // one joins there
+	core.SetBackEnds(start, backEndsInZones(8, 64, "a", "b")) // one joins there
 	_, decision := core.Begin(start, request(repeatable(2), "x"))
 	is.Equal(decision.Send.BackEnd.Zone, "b")
 }
 
-func TestFurtherAttemptKeepsOffAnEvacuatedZone(t *testing.T) {
+func TestRetryAvoidsEvacuatedZone(t *testing.T) {
 	is := is.New(t)
-	core := newCore(inZones(2, 6, "a", "b"))
+	core := newCore(backEndsInZones(2, 6, "a", "b"))
 	core.SetEvacuated(start, []string{"b"}, nil)
 	x, first := core.Begin(start, request(repeatable(2), "x"))
 	is.Equal(first.Send.BackEnd.Zone, "a")
 	is.True(core.Refused(start, x).GiveUp != nil) // the one back end that is left refused it
 }
 
-func TestRequestWithoutABackEndOutsideIsRefusedAtOnce(t *testing.T) {
+func TestRequestIsRefusedWhenAllZonesAreEvacuated(t *testing.T) {
 	is := is.New(t)
-	core := newCore(inZones(4, 6, "a"))
+	core := newCore(backEndsInZones(4, 6, "a"))
 	core.SetEvacuated(start, []string{"a"}, nil)
 	_, decision := core.Begin(start, request(repeatable(2), "x"))
 	is.Equal(decision.GiveUp.Kind, failure.PoolExhausted)
@@ -55,21 +55,21 @@
 }
 
 // Back ends may have turned cold while they stood idle, and don't say so at once.
-func TestRestoredZoneCountsAsCold(t *testing.T) {
+func TestRestoredZoneWarmsUp(t *testing.T) {
 	is := is.New(t)
-	core := newCore(inZones(2, 64, "a"))
+	core := newCore(backEndsInZones(2, 64, "a"))
 	core.SetServices([]catalog.Service{{Name: "s", WarmUpRate: 2, WarmUpTime: 3 * time.Second}})
 	core.SetEvacuated(start, []string{"a"}, nil)
 	core.SetEvacuated(start, nil, []catalog.Evacuation{{Zone: "a", Withdrawn: true, Revision: 9}})
-	is.True(core.Beliefs(start)[0].WarmsUp)
-	is.True(!core.Beliefs(start.Add(3 * time.Second))[0].WarmsUp)
+	is.True(core.BackEndStatuses(start)[0].WarmsUp)
+	is.True(!core.BackEndStatuses(start.Add(3 * time.Second))[0].WarmsUp)
 }
 
 // An entry from before an order was taken back may come after the news of that: from a watch
 // of a slow store, or a list that is old. It knows nothing of the cold that followed.
-func TestEntryFromBeforeARestorationDoesNotEndTheWarmUp(t *testing.T) {
+func TestEntryOlderThanRestorationDoesNotEndWarmUp(t *testing.T) {
 	is := is.New(t)
-	list := inZones(1, 64, "a")
+	list := backEndsInZones(1, 64, "a")
 	core := newCore(list)
 	core.SetServices([]catalog.Service{{Name: "s", WarmUpRate: 2, WarmUpTime: 3 * time.Second}})
 	core.SetEvacuated(start, []string{"a"}, nil)
@@ -77,7 +77,7 @@
 	warmsUp := func(revision uint64, left time.Duration) bool {
 		list[0].WarmUp, list[0].WarmUpAt = left, catalog.Position{Revision: revision}
 		core.SetBackEnds(start, list)
-		return core.Beliefs(start.Add(time.Second))[0].WarmsUp
+		return core.BackEndStatuses(start.Add(time.Second))[0].WarmsUp
 	}
 	is.True(warmsUp(7, 100*time.Millisecond)) // an earlier warm-up, told late
 	is.True(warmsUp(0, 0))                    // warm, as far as that entry knew
@@ -85,12 +85,12 @@
 }
 
 // A back end of a restored zone that a gateway hears of only then counts as cold as well.
-func TestBackEndHeardOfAfterARestorationCountsAsCold(t *testing.T) {
+func TestBackEndListedAfterRestorationWarmsUp(t *testing.T) {
 	is := is.New(t)
-	core := newCore(inZones(1, 64, "a"))
+	core := newCore(backEndsInZones(1, 64, "a"))
 	core.SetServices([]catalog.Service{{Name: "s", WarmUpRate: 2, WarmUpTime: 3 * time.Second}})
 	core.SetEvacuated(start, nil, []catalog.Evacuation{{Zone: "a", Withdrawn: true, Revision: 9}})
-	core.SetBackEnds(start.Add(time.Second), inZones(2, 64, "a"))
-	is.True(core.Beliefs(start.Add(2 * time.Second))[1].WarmsUp)
-	is.True(!core.Beliefs(start.Add(3 * time.Second))[1].WarmsUp)
+	core.SetBackEnds(start.Add(time.Second), backEndsInZones(2, 64, "a"))
+	is.True(core.BackEndStatuses(start.Add(2 * time.Second))[1].WarmsUp)
+	is.True(!core.BackEndStatuses(start.Add(3 * time.Second))[1].WarmsUp)
 }
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -31,23 +31,23 @@
 	// attempts counts back ends that may have received the request.
 	attempts int
 	// connects counts connections that could not be made.
-	connects int
-	tried    []string
-	current  *member
+	failedConnects int
+	tried          []string
+	current        *member
 	// sentAt is when the current attempt began.
 	sentAt time.Time
 	// ran is what is known of all attempts so far.
 	ran failure.Ran
 	// side is the version that may take the next attempt while the service is moved to another
 	// one, and run is the current attempt as the judge of the move follows it.
-	side rollout.Side
-	run  *rollout.Run
+	side           rollout.Side
+	rolloutAttempt *rollout.Run
 	// worked is set once the current attempt is off the back end's load.
-	worked bool
+	slotReleased bool
 	// settled is set once the current attempt doesn't wait for the back end any more.
-	settled bool
+	waitEnded bool
 	// whole is set once the caller has a whole answer.
-	whole bool
+	completed bool
 	// fingerprints are those of the request, once they were asked for.
 	fingerprints []Fingerprint
 }
@@ -79,7 +79,7 @@
 	FetchFrom string
 	// Patience is how long to wait for the answer's head before another back end
 	// is tried; 0 means until the deadline.
-	Patience time.Duration
+	HeadTimeout time.Duration
 	// Estimate is the load that decided, and Candidates among how many.
 	Estimate   float64
 	Candidates int
@@ -96,13 +96,13 @@
 
 const (
 	// maxConnects bounds the back ends tried that can't be connected to.
-	maxConnects = 4
+	maxFailedConnects = 4
 	// refusedWait is when to come back after one back end's refusal.
-	refusedWait = 250 * time.Millisecond
+	refusalRetryAfter = 250 * time.Millisecond
 	// leastPatience and patienceObjectives bound the wait for a head while another back end
 	// may be tried: the least time, and so many times the route's objective.
-	leastPatience      = time.Second
-	patienceObjectives = 3
+	minHeadTimeout        = time.Second
+	headTimeoutObjectives = 3
 )
 
 // Begin takes a request and decides its first attempt.
@@ -127,19 +127,19 @@
 	}
 	c.pickSide(now, x)
 	chosen := c.choose(now, x)
-	if chosen == nil && c.yieldSide(x) {
+	if chosen == nil && c.fallBackToStanding(x) {
 		chosen = c.choose(now, x)
 	}
 	if chosen == nil {
 		return c.giveUp(now, x, failure.PoolExhausted, "no back end of "+x.service+" has room")
 	}
 	send := &Send{
-		BackEnd:   chosen.backEnd,
-		FetchFrom: c.fetchSource(now, x, chosen),
-		Patience:  c.patience(x),
-		Estimate:  c.estimate(now, chosen),
+		BackEnd:     chosen.backEnd,
+		FetchFrom:   c.copySource(now, x, chosen),
+		HeadTimeout: c.headTimeout(x),
+		Estimate:    c.estimate(now, chosen),
 
-		Candidates: len(c.poolOf(now, x.service)),
+		Candidates: len(c.poolMembers(now, x.service)),
 	}
 	if c.rollouts.byService[x.service] != nil {
 		send.Version = chosen.backEnd.Version
@@ -149,22 +149,22 @@
 	x.tried = append(x.tried, chosen.backEnd.ID)
 	x.current = chosen
 	x.sentAt = now
-	x.settled = false
-	c.noteRun(now, x, chosen)
+	x.waitEnded = false
+	c.startRolloutAttempt(now, x, chosen)
 	chosen.own++
-	c.paceOf(x.service).sent++
-	c.noteHealth(now, chosen)
+	c.localResidenceOf(x.service).sent++
+	c.recordHealthChange(now, chosen)
 	chosen.health.sent(now)
 	return Decision{Send: send}
 }
 
 // patience bounds the wait for a head only while another attempt is allowed.
-func (c *Core) patience(x *Exchange) time.Duration {
+func (c *Core) headTimeout(x *Exchange) time.Duration {
 	route := x.request.Route
 	if !route.MayRepeat() || x.attempts+1 >= route.MaxAttempts || c.budget(x.service).Tokens() < 1 {
 		return 0
 	}
-	return max(leastPatience, patienceObjectives*route.Objective)
+	return max(minHeadTimeout, headTimeoutObjectives*route.Objective)
 }
 
 // giveUp ends the exchange. A request that may have run gets an answer that
@@ -177,22 +177,22 @@
 	}
 	refusal := failure.New(kind, message)
 	if kind == failure.PoolExhausted {
-		refusal.RetryAfter = c.whenToComeBack(now, x)
+		refusal.RetryAfter = c.retryAfter(now, x)
 	}
 	return Decision{GiveUp: refusal}
 }
 
 // whenToComeBack returns when a caller may find a back end of the exchange's service that takes
 // its request; 0 for the default.
-func (c *Core) whenToComeBack(now time.Time, x *Exchange) time.Duration {
-	rest, all := c.firstRestEnds(now, x)
+func (c *Core) retryAfter(now time.Time, x *Exchange) time.Duration {
+	wait, all := c.earliestRetry(now, x)
 	switch {
 	case all:
-		return rest
+		return wait
 	case x.attempts > 0:
 		// One back end refused; another may take the request at once.
-		return refusedWait
+		return refusalRetryAfter
 	default:
-		return min(rest, failure.PoolExhausted.Answer().RetryAfter)
+		return min(wait, failure.PoolExhausted.Answer().RetryAfter)
 	}
 }
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -30,35 +30,35 @@
 const (
 	// firstEjection and longestEjection bound the time without requests; it
 	// doubles with each failure in a row.
-	firstEjection   = 500 * time.Millisecond
-	longestEjection = 4 * time.Second
+	baseEjectionTime = 500 * time.Millisecond
+	maxEjectionTime  = 4 * time.Second
 	// breaksToEject is the number of breaks in a row that eject. A connection
 	// that can't be made ejects at once.
-	breaksToEject = 2
+	failuresToEject = 2
 	// silenceLimit is how long requests may wait without any answer.
 	silenceLimit = time.Second
 	// errorWeight is the weight of the newest outcome in the error rate.
 	errorWeight = 0.15
 	// errorsToEject is the least error rate that ejects, and errorsOverPool how
 	// many times its pool's rate it must be.
-	errorsToEject  = 0.35
-	errorsOverPool = 2.0
+	ejectionErrorRate  = 0.35
+	ejectionPoolFactor = 2.0
 	// errorEjection is how long a failing back end is left alone.
-	errorEjection = 2 * time.Second
+	errorEjectionTime = 2 * time.Second
 	// trialPatience is how long after an ejection only requests that may be
 	// repeated are tried.
-	trialPatience = 2 * time.Second
+	repeatableTrialTime = 2 * time.Second
 )
 
 // health is the state machine behind Health.
 type health struct {
-	failures     int
-	ejectedUntil time.Time
-	onTrial      bool
-	trials       int
-	errorRate    float64
-	awaiting     int
-	quietSince   time.Time
+	consecutiveFailures int
+	ejectedUntil        time.Time
+	onTrial             bool
+	trials              int
+	errorRate           float64
+	awaiting            int
+	quietSince          time.Time
 	// allowance is added to the time that counts as silence.
 	allowance time.Duration
 	// disabled switches mechanisms off; see Disabled.
@@ -67,38 +67,38 @@
 	// ended, whatever the list says.
 	displaced bool
 	// restUntil is until when it wants nothing.
-	restUntil time.Time
+	retryAt time.Time
 	// connectsFailed is set while the last sign was a connection that could not be
 	// made.
-	connectsFailed bool
+	lastConnectFailed bool
 }
 
 // reachable tells whether another back end may copy from this one: what it
 // answers to callers doesn't matter, only that it is there and doesn't want to be left alone.
 func (h *health) reachable(now time.Time) bool {
-	return !h.connectsFailed && !h.displaced && h.restLeft(now) == 0 && h.status(now) != Silent
+	return !h.lastConnectFailed && !h.displaced && h.retryWait(now) == 0 && h.status(now) != Silent
 }
 
 // rest notes that it wants nothing for so long. Then one request at a time finds out whether
 // it takes work again: a crowd that has waited for the moment would make it rest once more.
-func (h *health) rest(now time.Time, wait time.Duration) {
-	if until := now.Add(wait); until.After(h.restUntil) {
-		h.restUntil = until
+func (h *health) setRetryAfter(now time.Time, wait time.Duration) {
+	if until := now.Add(wait); until.After(h.retryAt) {
+		h.retryAt = until
 	}
 	h.onTrial = true
 }
 
 // restLeft returns for how long it wants nothing; 0 for one that takes work.
-func (h *health) restLeft(now time.Time) time.Duration { return max(0, h.restUntil.Sub(now)) }
+func (h *health) retryWait(now time.Time) time.Duration { return max(0, h.retryAt.Sub(now)) }
 
 func (h *health) status(now time.Time) Health {
 	if h.displaced || now.Before(h.ejectedUntil) && !h.disabled[Ejection] {
 		return Ejected
 	}
-	if h.restLeft(now) > 0 {
+	if h.retryWait(now) > 0 {
 		return Resting
 	}
-	if !h.disabled[Silence] && h.awaiting > 0 && now.Sub(h.quietSince) > silenceLimit+h.allowance {
+	if !h.disabled[SilenceDetection] && h.awaiting > 0 && now.Sub(h.quietSince) > silenceLimit+h.allowance {
 		return Silent
 	}
 	if h.onTrial && !h.disabled[Ejection] && !h.disabled[Trials] {
@@ -113,7 +113,7 @@
 	case Healthy:
 		return true
 	case OnTrial:
-		return h.trials == 0 && (mayRepeat || now.Sub(h.ejectedUntil) > trialPatience)
+		return h.trials == 0 && (mayRepeat || now.Sub(h.ejectedUntil) > repeatableTrialTime)
 	default:
 		return false
 	}
@@ -131,7 +131,7 @@
 }
 
 // settled notes the end of a wait, however it ended.
-func (h *health) settled() {
+func (h *health) waitEnded() {
 	h.awaiting = max(h.awaiting-1, 0)
 	h.trials = max(h.trials-1, 0)
 }
@@ -139,48 +139,48 @@
 // answered notes an answer of the back end's own.
 func (h *health) answered(now time.Time) {
 	h.quietSince = now
-	h.failures = 0
-	h.connectsFailed = false
+	h.consecutiveFailures = 0
+	h.lastConnectFailed = false
 }
 
 // good notes an answer that shows that the back end works.
-func (h *health) good(now time.Time) {
+func (h *health) succeeded(now time.Time) {
 	h.answered(now)
 	h.onTrial = false
 	h.errorRate -= errorWeight * h.errorRate
 }
 
 // bad notes an answer that the back end failed or refused without need.
-func (h *health) bad(now time.Time, poolRate float64) {
+func (h *health) failed(now time.Time, poolRate float64) {
 	h.answered(now)
 	h.errorRate += errorWeight * (1 - h.errorRate)
-	if h.onTrial || h.errorRate > errorsToEject && h.errorRate > errorsOverPool*poolRate {
-		h.eject(now, errorEjection)
-		h.errorRate = errorsToEject / 2
+	if h.onTrial || h.errorRate > ejectionErrorRate && h.errorRate > ejectionPoolFactor*poolRate {
+		h.eject(now, errorEjectionTime)
+		h.errorRate = ejectionErrorRate / 2
 	}
 }
 
 // broke notes a connection that ended without an answer.
-func (h *health) broke(now time.Time) {
-	h.failures++
-	if h.failures >= breaksToEject || h.onTrial {
-		h.eject(now, h.backOff())
+func (h *health) connectionLost(now time.Time) {
+	h.consecutiveFailures++
+	if h.consecutiveFailures >= failuresToEject || h.onTrial {
+		h.eject(now, h.ejectionTime())
 	}
 }
 
 // unreachable notes a connection that could not be made.
-func (h *health) unreachable(now time.Time) {
-	h.failures++
-	h.connectsFailed = true
-	h.eject(now, h.backOff())
+func (h *health) connectFailed(now time.Time) {
+	h.consecutiveFailures++
+	h.lastConnectFailed = true
+	h.eject(now, h.ejectionTime())
 }
 
-func (h *health) backOff() time.Duration {
-	wait := firstEjection
-	for i := 1; i < h.failures && wait < longestEjection; i++ {
+func (h *health) ejectionTime() time.Duration {
+	wait := baseEjectionTime
+	for i := 1; i < h.consecutiveFailures && wait < maxEjectionTime; i++ {
 		wait *= 2
 	}
-	return min(wait, longestEjection)
+	return min(wait, maxEjectionTime)
 }
 
 func (h *health) eject(now time.Time, wait time.Duration) {
--- a/internal/dispatch/health_test.go
+++ b/internal/dispatch/health_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestUnconnectableBackEndIsLeftAloneAndTriedAgain(t *testing.T) {
+func TestUnreachableBackEndIsEjectedAndRetried(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(2, 6))
 	now := start
@@ -27,19 +27,19 @@
 		core.Done(start, x)
 		return target == dead
 	}
-	met := 0
+	attempts := 0
 	for range 2000 { // twenty seconds
 		now = now.Add(10 * time.Millisecond)
 		if sentToDead() {
-			met++
+			attempts++
 		}
 	}
-	is.True(met >= 4) // it is tried again
-	is.True(met <= 30)
-	core.Beliefs(now)
+	is.True(attempts >= 4) // it is tried again
+	is.True(attempts <= 30)
+	core.BackEndStatuses(now)
 }
 
-func TestFailingBackEndIsEjectedOnlyWhenWorseThanItsPool(t *testing.T) {
+func TestBackEndIsEjectedOnlyWhenWorseThanItsPool(t *testing.T) {
 	is := is.New(t)
 	fail := func(bad map[string]bool) map[string]int {
 		core := newCore(backEnds(4, 6))
@@ -47,7 +47,7 @@
 		now := start
 		for i := range 400 {
 			now = now.Add(20 * time.Millisecond)
-			x, decision := core.Begin(now, request(once(), fmt.Sprint(i)))
+			x, decision := core.Begin(now, request(nonRepeatable(), fmt.Sprint(i)))
 			id := decision.Send.BackEnd.ID
 			sent[id]++
 			if bad[id] {
@@ -65,45 +65,45 @@
 	is.True(all["b01"] > 70) // none is better: nobody is left alone
 }
 
-func TestPathThatFailsEverywhereSpendsNoBudget(t *testing.T) {
+func TestPathFailingEverywhereSpendsNoRetryBudget(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(4, 6))
-	again := 0
+	retries := 0
 	for range 20 {
 		x, _ := core.Begin(start, request(repeatable(2), "same"))
 		if core.Failed(start, x).Send != nil {
-			again++
+			retries++
 			core.Failed(start, x)
 		}
 		core.Done(start, x)
 	}
-	is.True(again <= 2)
+	is.True(retries <= 2)
 }
 
 // When most of a pool breaks connections, the few that look well don't get all of
 // its load.
-func TestPoolInTroubleIsNotLeftToAFew(t *testing.T) {
+func TestMostlyEjectedPoolIsUsedAsAWhole(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(10, 64))
 	for i := range 9 {
-		for range breaksToEject {
-			core.members[fmt.Sprintf("b%02d", i)].health.broke(start)
+		for range failuresToEject {
+			core.members[fmt.Sprintf("b%02d", i)].health.connectionLost(start)
 		}
 	}
 	sent := map[string]int{}
 	for i := range 50 {
-		_, decision := core.Begin(start, request(once(), fmt.Sprint(i)))
+		_, decision := core.Begin(start, request(nonRepeatable(), fmt.Sprint(i)))
 		sent[decision.Send.BackEnd.ID]++
 	}
 	is.True(sent["b09"] <= 10)
-	core.members["b00"].health.unreachable(start)
-	_, decision := core.Begin(start, request(once(), "x"))
+	core.members["b00"].health.connectFailed(start)
+	_, decision := core.Begin(start, request(nonRepeatable(), "x"))
 	is.True(decision.Send.BackEnd.ID != "b00") // nobody answers there
 }
 
 // A back end whose address belongs to another one by now is never back under its name: a
 // list that still has it, even for minutes, costs one attempt.
-func TestBackEndWithoutItsAddressIsNotTriedAgain(t *testing.T) {
+func TestDisplacedBackEndIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(2, 6))
 	x, decision := core.Begin(start, request(repeatable(2), "first"))
--- a/internal/dispatch/holders.go
+++ b/internal/dispatch/holders.go
@@ -11,21 +11,21 @@
 
 const (
 	// rememberedParts bounds the memory for prompt parts.
-	rememberedParts = 16384
+	maxRememberedParts = 16384
 	// holdersPerPart is how many back ends are remembered for a part.
-	holdersPerPart = 8
+	maxHoldersPerPart = 8
 	// holdingTime is how long a back end is believed to keep a part unused.
-	holdingTime = time.Minute
+	holdingTTL = time.Minute
 	// retellTime is how long a holding isn't told again while it is used. It is
 	// short against holdingTime, so that peers don't forget what is in use.
-	retellTime = 20 * time.Second
+	republishInterval = 20 * time.Second
 	// leastTold is the length of a prompt, in tokens up to the end of its shared parts,
 	// from which holders are told. Shorter ones are read in the time that a copy of
 	// them takes to be set up; for them the order of members decides.
-	leastTold = 1024
+	minPublishedTokens = 1024
 	// rememberedNews bounds the news that is kept for peers. A gateway that lags by
 	// more misses some, and learns it when it is told again.
-	rememberedNews = 4096
+	maxHoldingUpdates = 4096
 )
 
 // partKey identifies a prompt part among gateways.
@@ -50,7 +50,7 @@
 	tokens  int
 	usedAt  time.Time
 	// toldAt is when the holding last became news.
-	toldAt time.Time
+	publishedAt time.Time
 }
 
 // holderMemory remembers which back ends read a prompt part, the latest first,
@@ -60,13 +60,13 @@
 	parts *lru.Cache[partKey, []holder]
 	// news are the latest holdings that peers may lack, in a ring; told counts all
 	// of them so far.
-	news [rememberedNews]holdingNews
-	told uint64
+	updates   [maxHoldingUpdates]holdingUpdate
+	published uint64
 	// held is the number of tokens that each back end is believed to hold.
 	held map[catalog.Incarnation]int
 }
 
-type holdingNews struct {
+type holdingUpdate struct {
 	part    partKey
 	backEnd catalog.Incarnation
 	tokens  int
@@ -74,7 +74,7 @@
 
 func newHolderMemory() *holderMemory {
 	h := &holderMemory{held: map[catalog.Incarnation]int{}}
-	parts, err := lru.NewWithEvict(rememberedParts, func(_ partKey, list []holder) { h.drop(list...) })
+	parts, err := lru.NewWithEvict(maxRememberedParts, func(_ partKey, list []holder) { h.drop(list...) })
 	if err != nil {
 		panic(err) // the size is fixed and above 0
 	}
@@ -98,24 +98,24 @@
 func (h *holderMemory) note(now time.Time, part partKey, tokens int, backEnd catalog.Incarnation) {
 	known, _ := h.parts.Get(part)
 	used := holder{backEnd: backEnd, tokens: tokens, usedAt: now}
-	list := make([]holder, 1, min(len(known)+1, holdersPerPart))
+	list := make([]holder, 1, min(len(known)+1, maxHoldersPerPart))
 	for _, other := range known {
 		switch {
 		case other.backEnd == backEnd:
-			used.toldAt = other.toldAt
+			used.publishedAt = other.publishedAt
 			h.drop(other)
-		case now.Sub(other.usedAt) < holdingTime && len(list) < holdersPerPart:
+		case now.Sub(other.usedAt) < holdingTTL && len(list) < maxHoldersPerPart:
 			list = append(list, other)
 		default:
 			h.drop(other)
 		}
 	}
 	h.held[backEnd] += tokens
-	isTold := tokens >= leastTold || tokens == prefixTokens
-	if isTold && (used.toldAt.IsZero() || now.Sub(used.toldAt) >= retellTime) {
-		used.toldAt = now
-		h.news[h.told%rememberedNews] = holdingNews{part: part, backEnd: backEnd, tokens: tokens}
-		h.told++
+	isPublishable := tokens >= minPublishedTokens || tokens == prefixTokens
+	if isPublishable && (used.publishedAt.IsZero() || now.Sub(used.publishedAt) >= republishInterval) {
+		used.publishedAt = now
+		h.updates[h.published%maxHoldingUpdates] = holdingUpdate{part: part, backEnd: backEnd, tokens: tokens}
+		h.published++
 	}
 	list[0] = used
 	h.parts.Add(part, list)
@@ -132,11 +132,11 @@
 
 // holding returns the back ends that are believed to keep the part, the latest
 // used first.
-func (h *holderMemory) holding(now time.Time, part partKey) []catalog.Incarnation {
+func (h *holderMemory) holdersOf(now time.Time, part partKey) []catalog.Incarnation {
 	known, _ := h.parts.Get(part)
 	var backEnds []catalog.Incarnation
 	for _, each := range known {
-		if now.Sub(each.usedAt) < holdingTime {
+		if now.Sub(each.usedAt) < holdingTTL {
 			backEnds = append(backEnds, each.backEnd)
 		}
 	}
@@ -145,15 +145,15 @@
 
 // since returns at most so many news after the number, oldest first and grouped by
 // back end, and the number to go on from.
-func (h *holderMemory) since(number uint64, most int) ([]Holdings, uint64) {
-	if h.told > rememberedNews {
-		number = max(number, h.told-rememberedNews)
+func (h *holderMemory) updatesSince(cursor uint64, limit int) ([]Holdings, uint64) {
+	if h.published > maxHoldingUpdates {
+		cursor = max(cursor, h.published-maxHoldingUpdates)
 	}
-	end := min(h.told, number+uint64(most))
+	end := min(h.published, cursor+uint64(limit))
 	var list []Holdings
 	index := map[catalog.Incarnation]int{}
-	for ; number < end; number++ {
-		each := h.news[number%rememberedNews]
+	for ; cursor < end; cursor++ {
+		each := h.updates[cursor%maxHoldingUpdates]
 		at, known := index[each.backEnd]
 		if !known {
 			at = len(list)
@@ -168,16 +168,16 @@
 
 // HoldingsSince returns at most so many holdings that peers may lack after the
 // number, and the number to go on from. The first number is 0.
-func (c *Core) HoldingsSince(number uint64, most int) ([]Holdings, uint64) {
-	if c.config.Disabled[HoldersTold] {
-		return nil, number
+func (c *Core) HoldingsSince(cursor uint64, limit int) ([]Holdings, uint64) {
+	if c.config.Disabled[ShareHoldings] {
+		return nil, cursor
 	}
-	return c.holders.since(number, most)
+	return c.holders.updatesSince(cursor, limit)
 }
 
 // PeerHoldings takes what a peer told.
-func (c *Core) PeerHoldings(now time.Time, list []Holdings) {
-	if c.config.Disabled[HoldersTold] {
+func (c *Core) MergePeerHoldings(now time.Time, list []Holdings) {
+	if c.config.Disabled[ShareHoldings] {
 		return
 	}
 	for _, each := range list {
--- a/internal/dispatch/incarnation_test.go
+++ b/internal/dispatch/incarnation_test.go
@@ -11,7 +11,7 @@
 )
 
 // bornAt returns the back ends with the start of one of them replaced.
-func bornAt(list []catalog.BackEnd, number int, born int64) []catalog.BackEnd {
+func withStartTime(list []catalog.BackEnd, number int, born int64) []catalog.BackEnd {
 	changed := make([]catalog.BackEnd, len(list))
 	copy(changed, list)
 	changed[number].Born = born
@@ -19,15 +19,15 @@
 }
 
 // A back end that is back under its ID holds nothing of what its last life read.
-func TestBackEndThatStartedAgainHoldsNothing(t *testing.T) {
+func TestRestartedBackEndHoldsNoParts(t *testing.T) {
 	is := is.New(t)
-	list := bornAt(backEnds(6, 64), 0, 1000)
+	list := withStartTime(backEnds(6, 64), 0, 1000)
 	core := newCore(list)
-	part := partHomedAt(core, "b00")
-	is.Equal(serve(start, core, "first", part), "b00")
-	x, _ := core.Begin(start, chat("copy", part))
+	part := partRankedFirstAt(core, "b00")
+	is.Equal(serveChat(start, core, "first", part), "b00")
+	x, _ := core.Begin(start, chatRequest("copy", part))
 	is.Equal(core.usableHolder(start, keyOf(part), nil).backEnd.ID, "b00")
-	core.SetBackEnds(start, bornAt(list, 0, 2000))
+	core.SetBackEnds(start, withStartTime(list, 0, 2000))
 	is.True(core.usableHolder(start, keyOf(part), nil) == nil)
 	is.Equal(core.memoryShare(core.members["b00"]), 0.0)
 	core.Answered(start, x, -1) // an answer of the life before says nothing of this one
@@ -36,7 +36,7 @@
 }
 
 // partHomedAt returns a prompt part whose first back end in order is the one named.
-func partHomedAt(core *Core, id string) string {
+func partRankedFirstAt(core *Core, id string) string {
 	for part := 'a'; ; part++ {
 		if rendezvousOrder(core, string(part))[0] == id {
 			return string(part)
@@ -46,44 +46,44 @@
 
 // A peer's word on the life before doesn't speak of this one, in whichever order a gateway
 // hears of both, and software that tells no start is taken at its word.
-func TestNewsOfAnEarlierLife(t *testing.T) {
+func TestHoldingsOfAnotherIncarnationAreIgnored(t *testing.T) {
 	is := is.New(t)
 	list := backEnds(6, 64)
-	older, newer := bornAt(list, 0, 2000), bornAt(list, 0, 1000) // its clock stepped back
-	told := func(born int64) []Holdings {
+	older, newer := withStartTime(list, 0, 2000), withStartTime(list, 0, 1000) // its clock stepped back
+	holdingsOf := func(born int64) []Holdings {
 		return []Holdings{{BackEnd: "b00", Born: born, Parts: []uint64{7}, Tokens: []int{9000}}}
 	}
 	core := newCore(newer)
-	core.PeerHoldings(start, told(2000))
+	core.MergePeerHoldings(start, holdingsOf(2000))
 	is.True(core.usableHolder(start, 7, nil) == nil)
-	core.PeerHoldings(start, told(1000))
+	core.MergePeerHoldings(start, holdingsOf(1000))
 	is.Equal(core.usableHolder(start, 7, nil).backEnd.ID, "b00")
 
 	core = newCore(older)
-	core.PeerHoldings(start, told(1000)) // heard before this gateway knows of the start
+	core.MergePeerHoldings(start, holdingsOf(1000)) // heard before this gateway knows of the start
 	is.True(core.usableHolder(start, 7, nil) == nil)
 	core.SetBackEnds(start, newer)
 	is.Equal(core.usableHolder(start, 7, nil).backEnd.ID, "b00")
 
 	core = newCore(newer)
-	core.PeerHoldings(start, told(0))
+	core.MergePeerHoldings(start, holdingsOf(0))
 	is.Equal(core.usableHolder(start, 7, nil).backEnd.ID, "b00")
 }
 
 // What is believed of a back end's health, load and warm-up is that of one life.
-func TestStartUnderTheSameIDBeginsAnew(t *testing.T) {
+func TestRestartUnderSameIDResetsState(t *testing.T) {
 	is := is.New(t)
-	list := bornAt(backEnds(2, 6), 0, 1000)
+	list := withStartTime(backEnds(2, 6), 0, 1000)
 	core := newCore(list)
 	old := core.members["b00"]
 	old.health.displaced = true
-	old.own, old.others, old.since = 4, othersCount{requests: 9}, start.Add(-time.Hour)
-	core.SetBackEnds(start, bornAt(list, 0, 3000))
+	old.own, old.others, old.firstSeen = 4, othersLoad{requests: 9}, start.Add(-time.Hour)
+	core.SetBackEnds(start, withStartTime(list, 0, 3000))
 	now := core.members["b00"]
 	is.Equal(now.health.status(start), Healthy)
 	is.Equal(now.own, 0)
-	is.Equal(now.others, othersCount{})
-	is.Equal(now.since, start)
+	is.Equal(now.others, othersLoad{})
+	is.Equal(now.firstSeen, start)
 
 	core.SetBackEnds(start, backEnds(2, 6)) // told by a gateway that doesn't know of starts
 	is.True(core.members["b00"] == now)
@@ -91,7 +91,7 @@
 
 // A back end that crashed may be back under its ID before its entry says so, and cold: until
 // then all gateways together keep its limit.
-func TestBackEndThatCrashedMayComeBackCold(t *testing.T) {
+func TestCrashedBackEndIsLimitedWhenItReturns(t *testing.T) {
 	is := is.New(t)
 	sent := 0
 	for _, self := range []string{"g1", "g2", "g3"} {
@@ -106,17 +106,17 @@
 		}
 		core.SetFleet(start.Add(-time.Minute), fleet)
 		for i := range 20 { // back ends that crashed long ago, and are gone
-			core.crashes.broke(start, Fingerprint(100+i), incarnationKey(i))
+			core.crashes.connectionLost(start, Fingerprint(100+i), incarnationKey(i))
 		}
-		part := partHomedAt(core, "b00")
-		first, _ := core.Begin(start, crashing(part))
-		core.Broken(start, first)
-		second, decision := core.Begin(start, crashing(part))
+		part := partRankedFirstAt(core, "b00")
+		first, _ := core.Begin(start, crashingRequest(part))
+		core.ConnectionLost(start, first)
+		second, decision := core.Begin(start, crashingRequest(part))
 		is.Equal(decision.Send.BackEnd.ID, "b00")
 		core.NotConnected(start, second)
 		for i := range 100 { // from when it is tried again
 			now := start.Add(4*time.Second + time.Duration(i)*5*time.Millisecond)
-			request := crashing(part)
+			request := crashingRequest(part)
 			request.ID = fmt.Sprint(i)
 			x, decision := core.Begin(now, request)
 			if decision.Send.BackEnd.ID == "b00" {
@@ -131,19 +131,19 @@
 }
 
 // crashing returns a request for the part that may be under way at a crash.
-func crashing(part string) Request {
-	made := chat("crashing", part)
+func crashingRequest(part string) Request {
+	made := chatRequest("crashing", part)
 	made.Fingerprints = func() []Fingerprint { return []Fingerprint{1} }
 	return made
 }
 
 // A back end that lapses from the list and comes back as another life isn't the one that lapsed.
-func TestLapsedBackEndThatStartedAgain(t *testing.T) {
+func TestLapsedBackEndReturnsAsNewIncarnation(t *testing.T) {
 	is := is.New(t)
-	list := bornAt(backEnds(4, 6), 0, 1000)
+	list := withStartTime(backEnds(4, 6), 0, 1000)
 	core := newCore(list)
 	core.members["b00"].health.displaced = true
 	core.SetBackEnds(start, list[1:])
-	core.SetBackEnds(start, bornAt(list, 0, 4000))
+	core.SetBackEnds(start, withStartTime(list, 0, 4000))
 	is.Equal(core.members["b00"].health.status(start), Healthy)
 }
--- a/internal/dispatch/lapse.go
+++ b/internal/dispatch/lapse.go
@@ -10,7 +10,7 @@
 
 // fewestLapsed is the number of lapsed members below which all count as gone: one
 // that vanishes by itself tells nothing of the store.
-const fewestLapsed = 2
+const minLapsed = 2
 
 // lapsedMember is a back end that vanished from the list without having said that
 // it leaves. A store that comes back from an outage may drop the entries of back
@@ -46,7 +46,7 @@
 
 // remembered returns what is believed of a back end that is listed again, or nil: one that
 // has started again under its ID is another.
-func (c *Core) remembered(of catalog.Incarnation) *member {
+func (c *Core) knownMember(of catalog.Incarnation) *member {
 	m := c.members[of.ID]
 	if m == nil {
 		m = c.lapsed[of.ID].member
@@ -59,7 +59,7 @@
 
 // present returns a back end that is listed, or lapsed and not yet taken for gone,
 // or nil.
-func (c *Core) present(now time.Time, id string) *member {
+func (c *Core) presentMember(now time.Time, id string) *member {
 	if m := c.members[id]; m != nil {
 		return m
 	}
@@ -71,7 +71,7 @@
 
 // poolOf returns a service's members by ID: the listed ones, and the lapsed ones
 // too while those are as many as the listed ones that stay.
-func (c *Core) poolOf(now time.Time, service string) []*member {
+func (c *Core) poolMembers(now time.Time, service string) []*member {
 	var listed []*member
 	if pool := c.pools[service]; pool != nil {
 		listed = pool.members
@@ -91,7 +91,7 @@
 			lapsed = append(lapsed, each.member)
 		}
 	}
-	if len(lapsed) < max(fewestLapsed, staying) {
+	if len(lapsed) < max(minLapsed, staying) {
 		return listed
 	}
 	return sortedByID(slices.Concat(listed, lapsed))
--- a/internal/dispatch/lapse_test.go
+++ b/internal/dispatch/lapse_test.go
@@ -12,56 +12,56 @@
 
 // TestLapsedPoolIsUsedForAWhile: a store that comes back from an outage drops all
 // entries at once and lists them again with the next heartbeats.
-func TestLapsedPoolIsUsedForAWhile(t *testing.T) {
+func TestLapsedPoolIsUsedUntilLapseTime(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(4, 6))
 	core.SetBackEnds(start, nil)
-	_, decision := core.Begin(start.Add(time.Second), request(once(), "a"))
+	_, decision := core.Begin(start.Add(time.Second), request(nonRepeatable(), "a"))
 	is.True(decision.Send != nil) // may still be there
-	_, decision = core.Begin(start.Add(core.config.LapseTime), request(once(), "b"))
+	_, decision = core.Begin(start.Add(core.config.LapseTime), request(nonRepeatable(), "b"))
 	is.Equal(decision.GiveUp.Kind, failure.PoolExhausted) // taken for gone
 }
 
-func TestLapsedMemberKeepsItsLoadWhenListedAgain(t *testing.T) {
+func TestRelistedMemberKeepsItsLoad(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(2, 6))
-	_, sent := core.Begin(start, request(once(), "a"))
+	_, sent := core.Begin(start, request(nonRepeatable(), "a"))
 	core.SetBackEnds(start, nil)
 	is.Equal(core.Loads(), []Load{{BackEnd: sent.Send.BackEnd.ID, Requests: 1}}) // peers still hear of it
 	core.SetBackEnds(start, backEnds(2, 6))
 	is.Equal(core.Loads(), []Load{{BackEnd: sent.Send.BackEnd.ID, Requests: 1}})
 }
 
-func TestAFewThatVanishAreGoneAtOnce(t *testing.T) {
+func TestFewVanishedMembersAreGoneAtOnce(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(6, 6))
 	core.SetBackEnds(start, backEnds(6, 6)[:4])
 	for range 100 {
-		_, decision := core.Begin(start, request(once(), "a"))
+		_, decision := core.Begin(start, request(nonRepeatable(), "a"))
 		is.True(decision.Send == nil || decision.Send.BackEnd.ID < "b04")
 	}
 }
 
 // TestLeavingMemberNeverLapses: one that has said that it leaves gets nothing once
 // it has vanished, however short its pool.
-func TestLeavingMemberNeverLapses(t *testing.T) {
+func TestLeavingMemberDoesNotLapse(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(2, 6))
 	list := backEnds(2, 6)
 	list[0].Leaving, list[1].Leaving = true, true
 	core.SetBackEnds(start, list)
 	core.SetBackEnds(start, nil)
-	_, decision := core.Begin(start, request(once(), "a"))
+	_, decision := core.Begin(start, request(nonRepeatable(), "a"))
 	is.Equal(decision.GiveUp.Kind, failure.PoolExhausted)
 }
 
 // TestGoneMemberIsNoSourceOfCopies: what a lapsed member has read is copied from it
 // only while it may still be there.
-func TestGoneMemberIsNoSourceOfCopies(t *testing.T) {
+func TestPartsAreNotCopiedFromGoneMember(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(4, 64))
 	parts := []Part{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 10}}
-	first := answers(core, "a", parts)
+	first := serveRequest(core, "a", parts)
 	var left []catalog.BackEnd
 	for _, each := range backEnds(4, 64) {
 		if each.ID != first.Send.BackEnd.ID {
@@ -77,7 +77,7 @@
 }
 
 // answers lets a request with the parts be answered, and returns the decision on it.
-func answers(c *Core, id string, parts []Part) Decision {
+func serveRequest(c *Core, id string, parts []Part) Decision {
 	x, decision := c.Begin(start, request(repeatable(2), id, parts...))
 	c.Answered(start, x, -1)
 	c.Done(start, x)
--- a/internal/dispatch/lives.go
+++ b/internal/dispatch/lives.go
@@ -10,62 +10,64 @@
 
 // mostLives bounds the lives of which something is remembered: as many as a zone of a thousand
 // back ends may lose at once.
-const mostLives = 1024
+const maxLoggedIncarnations = 1024
 
 // lifeKey stands for a life of a back end at an address.
-type lifeKey uint32
+type addressedIncarnation uint32
 
-func lifeOf(backEnd catalog.BackEnd) lifeKey {
-	return lifeKey(xxhash.Sum64String(backEnd.ID + "@" + strconv.FormatInt(backEnd.Born, 10) + "@" + backEnd.Address))
+func addressedIncarnationOf(backEnd catalog.BackEnd) addressedIncarnation {
+	return addressedIncarnation(xxhash.Sum64String(backEnd.ID + "@" + strconv.FormatInt(backEnd.Born, 10) + "@" + backEnd.Address))
 }
 
 // lifeSet is lives of back ends of which the same is known, whoever found out. It is told to
 // peers by number, as a log.
-type lifeSet struct {
-	known map[lifeKey]bool
+type incarnationLog struct {
+	known map[addressedIncarnation]bool
 	// order is that in which they were heard of, and forgotten counts those that had to give
 	// way.
-	order     []lifeKey
-	forgotten uint64
+	order   []addressedIncarnation
+	evicted uint64
 }
 
-func newLifeSet() lifeSet { return lifeSet{known: map[lifeKey]bool{}} }
+func newIncarnationLog() incarnationLog {
+	return incarnationLog{known: map[addressedIncarnation]bool{}}
+}
 
 // add notes a life, and tells whether it is news.
-func (s *lifeSet) add(life lifeKey) bool {
-	if s.known[life] {
+func (l *incarnationLog) add(incarnation addressedIncarnation) bool {
+	if l.known[incarnation] {
 		return false
 	}
-	s.known[life] = true
-	s.order = append(s.order, life)
-	if len(s.order) > mostLives {
-		delete(s.known, s.order[0])
-		s.order = s.order[1:]
-		s.forgotten++
+	l.known[incarnation] = true
+	l.order = append(l.order, incarnation)
+	if len(l.order) > maxLoggedIncarnations {
+		delete(l.known, l.order[0])
+		l.order = l.order[1:]
+		l.evicted++
 	}
 	return true
 }
 
 // holds tells whether the life that a back end lives is among them.
-func (s *lifeSet) holds(backEnd catalog.BackEnd) bool {
-	return len(s.known) > 0 && s.known[lifeOf(backEnd)]
+func (l *incarnationLog) contains(backEnd catalog.BackEnd) bool {
+	return len(l.known) > 0 && l.known[addressedIncarnationOf(backEnd)]
 }
 
 // number is how many were heard of so far.
-func (s *lifeSet) number() uint64 { return s.forgotten + uint64(len(s.order)) }
+func (l *incarnationLog) sequence() uint64 { return l.evicted + uint64(len(l.order)) }
 
 // since returns those that a peer may lack which was told so many, and the number to go on from.
-func (s *lifeSet) since(told uint64) (lives []uint32, number uint64) {
-	for _, each := range s.order[min(max(told, s.forgotten)-s.forgotten, uint64(len(s.order))):] {
-		lives = append(lives, uint32(each))
+func (l *incarnationLog) since(cursor uint64) (incarnations []uint32, next uint64) {
+	for _, each := range l.order[min(max(cursor, l.evicted)-l.evicted, uint64(len(l.order))):] {
+		incarnations = append(incarnations, uint32(each))
 	}
-	return lives, s.number()
+	return incarnations, l.sequence()
 }
 
 // take adds what a peer told, and tells whether any is news.
-func (s *lifeSet) take(lives []uint32) (isNews bool) {
-	for _, each := range lives {
-		isNews = s.add(lifeKey(each)) || isNews
+func (l *incarnationLog) merge(incarnations []uint32) (added bool) {
+	for _, each := range incarnations {
+		added = l.add(addressedIncarnation(each)) || added
 	}
-	return isNews
+	return added
 }
--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -12,7 +12,7 @@
 
 // The load of every back end stays within the bound that the operators allow,
 // though all requests share one prompt part.
-func TestLoadStaysWithinTheBound(t *testing.T) {
+func TestLoadStaysWithinBound(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(10, 64))
 	route := repeatable(1)
@@ -26,55 +26,55 @@
 	}
 }
 
-func TestPeersLoadsCount(t *testing.T) {
+func TestPeerLoadsAreCounted(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(2, 6))
 	core.SetGateways(2)
-	core.PeerLoads(start, "peer", []Load{{BackEnd: "b00", Requests: 5}})
+	core.SetPeerLoads(start, "peer", []Load{{BackEnd: "b00", Requests: 5}})
 	for i := range 4 {
-		x, decision := core.Begin(start, request(once(), fmt.Sprint(i)))
+		x, decision := core.Begin(start, request(nonRepeatable(), fmt.Sprint(i)))
 		is.Equal(decision.Send.BackEnd.ID, "b01")
 		core.Done(start, x)
 	}
-	_, decision := core.Begin(start, request(once(), "first"))
+	_, decision := core.Begin(start, request(nonRepeatable(), "first"))
 	is.Equal(decision.Send.BackEnd.ID, "b01")
 	is.Equal(core.estimate(start, core.members["b01"]), 1.0)
 }
 
 // For the bound a peer is taken to send where this gateway sends, as many as it does,
 // as far as the demand for the member explains them, until it tells.
-func TestPeersAreTakenToSendAsThisGatewayDoes(t *testing.T) {
+func TestUnreportedPeerLoadIsExtrapolated(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(1, 64))
 	core.SetGateways(2)
-	core.PeerLoads(start, "peer", nil)
+	core.SetPeerLoads(start, "peer", nil)
 	m := core.members["b00"]
-	core.Begin(start, chat("alone", "part"))
-	is.Equal(core.cautiousEstimate(start, m), 1.0) // no time for the peer to do the same
+	core.Begin(start, chatRequest("alone", "part"))
+	is.Equal(core.pessimisticEstimate(start, m), 1.0) // no time for the peer to do the same
 	now := start
 	for i := range 20 {
 		now = now.Add(10 * time.Millisecond)
-		core.Begin(now, chat(fmt.Sprint(i), "part"))
+		core.Begin(now, chatRequest(fmt.Sprint(i), "part"))
 	}
 	is.Equal(core.estimate(now, m), 21.0)
-	demand := clumpAllowance * m.demand.perSecond(now) * 0.2
-	is.Equal(core.cautiousEstimate(now, m), 21+min(21, demand))
+	demand := burstFactor * m.demand.perSecond(now) * 0.2
+	is.Equal(core.pessimisticEstimate(now, m), 21+min(21, demand))
 	is.True(demand > 10) // twenty in 200 ms are seen as lasting
-	core.PeerLoads(now, "peer", nil)
-	is.Equal(core.cautiousEstimate(now, m), 21.0) // it has told since
+	core.SetPeerLoads(now, "peer", nil)
+	is.Equal(core.pessimisticEstimate(now, m), 21.0) // it has told since
 }
 
 // A clump of requests at one gateway isn't refused for what its peers might have
 // sent: there is room for it.
-func TestClumpIsNotRefusedWithRoom(t *testing.T) {
+func TestBurstIsNotRefusedWhileThereIsRoom(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(2, 6))
 	core.SetGateways(5)
 	for i := range 4 {
-		core.PeerLoads(start, fmt.Sprint(i), nil)
+		core.SetPeerLoads(start, fmt.Sprint(i), nil)
 	}
 	for i := range 20 {
-		_, decision := core.Begin(start, request(once(), fmt.Sprint(i)))
+		_, decision := core.Begin(start, request(nonRepeatable(), fmt.Sprint(i)))
 		is.True(decision.Send != nil)
 	}
 }
@@ -83,18 +83,18 @@
 	is := is.New(t)
 	core := newCore(backEnds(3, 6))
 	outcomes := []func(*Exchange){
-		func(x *Exchange) { core.Broken(start, x) },
+		func(x *Exchange) { core.ConnectionLost(start, x) },
 		func(x *Exchange) { core.Refused(start, x) },
 		func(x *Exchange) { core.Misdirected(start, x) },
 		func(x *Exchange) { core.NotConnected(start, x) },
-		func(x *Exchange) { core.Expired(start, x) },
+		func(x *Exchange) { core.TimedOut(start, x) },
 		func(x *Exchange) { core.Failed(start, x) },
 		func(x *Exchange) { core.Answered(start, x, 3) },
-		func(x *Exchange) { core.Answered(start, x, 3); core.Cut(start, x) },
+		func(x *Exchange) { core.Answered(start, x, 3); core.Truncated(start, x) },
 		func(*Exchange) {},
 	}
 	for i, outcome := range outcomes {
-		for _, route := range []*catalog.Route{once(), repeatable(3)} {
+		for _, route := range []*catalog.Route{nonRepeatable(), repeatable(3)} {
 			x, _ := core.Begin(start, request(route, fmt.Sprint(i)))
 			outcome(x)
 			core.Done(start, x)
@@ -107,7 +107,7 @@
 }
 
 // In a full pool the least urgent are refused while the most urgent find room.
-func TestLeastUrgentAreRefusedFirst(t *testing.T) {
+func TestLeastUrgentRequestsAreRefusedFirst(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(2, 10))
 	send := func(urgency int) bool {
@@ -128,7 +128,7 @@
 
 // A gateway of a large fleet that has just started knows its own requests alone. What the
 // others may have is guessed for the bound, but nothing is refused on a guess.
-func TestNothingIsRefusedBeforeLoadsAreKnown(t *testing.T) {
+func TestNothingIsRefusedOnEstimatedLoads(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(6, 6))
 	core.SetGateways(103)
--- a/internal/dispatch/member.go
+++ b/internal/dispatch/member.go
@@ -17,22 +17,22 @@
 	hash uint64
 	key  uint32
 	// others is what the other gateways have at it by the last totals.
-	others othersCount
+	others othersLoad
 	// ended counts this gateway's requests that ended since it last told its counts, and
 	// took is the time there of those without prompts.
-	ended int
-	took  time.Duration
+	ended        int
+	residenceSum time.Duration
 	// endedPerSecond is the mean rate at which all gateways' requests end there.
 	endedPerSecond float64
-	runTime        runTime
+	residenceTime  residenceTime
 	// since is when this gateway first heard of it.
-	since time.Time
+	firstSeen time.Time
 	// own counts this gateway's requests under way.
 	own    int
 	health health
 	demand demand
 	// noted is the health that was last told.
-	noted Health
+	loggedHealth Health
 	// reported is the load that the back end told last, reportedAt when, and
 	// reportedOwn this gateway's share in it.
 	reported    int
@@ -45,15 +45,15 @@
 	coldUntil   time.Time
 	warmUpSends []time.Time
 	// mayStartAgain is set from its crash until it answers, from when it is cold.
-	mayStartAgain bool
+	mayHaveRestarted bool
 	// drawn is the outcome of the draw among so many gateways of a version of the list.
-	drawn       bool
-	drawCount   int
-	drawVersion int
+	selected         bool
+	selectionCount   int
+	selectionVersion int
 }
 
 func newMember(now time.Time, id string) *member {
-	return &member{since: now, hash: xxhash.Sum64String(id), key: CountKey(id)}
+	return &member{firstSeen: now, hash: xxhash.Sum64String(id), key: CountKey(id)}
 }
 
 // report takes the load that came with an answer.
@@ -64,12 +64,12 @@
 }
 
 // freshReport is the age to which a reported load counts.
-const freshReport = time.Second
+const maxReportAge = time.Second
 
 // reportedEstimate returns the load by the last report and this gateway's own
 // requests since; ok is false when the report is too old.
 func (m *member) reportedEstimate(now time.Time) (load float64, ok bool) {
-	if m.reportedAt.IsZero() || now.Sub(m.reportedAt) > freshReport {
+	if m.reportedAt.IsZero() || now.Sub(m.reportedAt) > maxReportAge {
 		return 0, false
 	}
 	return max(float64(m.reported+m.own-m.reportedOwn), float64(m.own)), true
@@ -90,32 +90,32 @@
 }
 
 func newPeerLoads() peerLoads {
-	return peerLoads{byPeer: map[string]peerLoad{}, interval: firstInterval}
+	return peerLoads{byPeer: map[string]peerLoad{}, interval: initialInterval}
 }
 
 const (
 	// firstInterval is taken for the interval of news before any was heard: the
 	// shortest that peers keep.
-	firstInterval = 200 * time.Millisecond
+	initialInterval = 200 * time.Millisecond
 	// intervalWeight is the weight of the newest interval in the mean.
 	intervalWeight = 0.1
 )
 
 // freshPeer is the age to which a peer's loads count.
-const freshPeer = 1500 * time.Millisecond
+const maxPeerLoadAge = 1500 * time.Millisecond
 
 func (p *peerLoads) set(now time.Time, peer string, loads, own []Load) {
-	if before, known := p.byPeer[peer]; known && now.Sub(before.at) <= freshPeer {
+	if before, known := p.byPeer[peer]; known && now.Sub(before.at) <= maxPeerLoadAge {
 		p.interval += time.Duration(intervalWeight * float64(now.Sub(before.at)-p.interval))
 	}
 	p.byPeer[peer] = peerLoad{at: now, loads: byBackEnd(loads), own: byBackEnd(own)}
 }
 
 // oldest returns the age of the oldest loads that still count.
-func (p peerLoads) oldest(now time.Time) time.Duration {
+func (p peerLoads) oldestAge(now time.Time) time.Duration {
 	var oldest time.Duration
 	for _, peer := range p.byPeer {
-		if age := now.Sub(peer.at); age <= freshPeer {
+		if age := now.Sub(peer.at); age <= maxPeerLoadAge {
 			oldest = max(oldest, age)
 		}
 	}
@@ -134,25 +134,25 @@
 // to a member in the short time since a peer's word. Higher values keep further from
 // the bound, and send more chats away from their holders for a clump of requests at
 // one gateway that the others don't see.
-const clumpAllowance = 3
+const burstFactor = 3
 
 // sum returns the requests that the peers heard of late told of, how many more
 // they may have sent since, and how many peers these are. All gateways see the
 // same prompt parts asked for and choose alike, so each peer is taken to have sent
 // since its word as many more as this gateway did, as far as the demand for the member
 // explains them.
-func (p peerLoads) sum(now time.Time, m *member) (told int, since float64, heard int) {
+func (p peerLoads) sum(now time.Time, m *member) (reported int, unreported float64, peers int) {
 	id := m.backEnd.ID
-	demand := clumpAllowance * m.demand.perSecond(now)
+	demand := burstFactor * m.demand.perSecond(now)
 	for _, peer := range p.byPeer {
-		if now.Sub(peer.at) > freshPeer {
+		if now.Sub(peer.at) > maxPeerLoadAge {
 			continue
 		}
-		heard++
-		told += peer.loads[id]
-		since += min(float64(max(0, m.own-peer.own[id])), demand*now.Sub(peer.at).Seconds())
+		peers++
+		reported += peer.loads[id]
+		unreported += min(float64(max(0, m.own-peer.own[id])), demand*now.Sub(peer.at).Seconds())
 	}
-	return told, since, heard
+	return reported, unreported, peers
 }
 
 // estimate returns the load of all gateways at a back end: by the totals, where they
@@ -163,8 +163,8 @@
 	if c.totalsAreFresh(now) {
 		return float64(m.own) + m.others.requests
 	}
-	told, _, heard := c.peers.sum(now, m)
-	return c.complete(now, m, float64(m.own+told), heard)
+	reported, _, peers := c.peers.sum(now, m)
+	return c.extrapolate(now, m, float64(m.own+reported), peers)
 }
 
 // knownLoad returns the part of the load at a back end that this gateway knows of,
@@ -173,32 +173,32 @@
 	if c.totalsAreFresh(now) {
 		return float64(m.own) + m.others.requests
 	}
-	told, _, _ := c.peers.sum(now, m)
+	peerReported, _, _ := c.peers.sum(now, m)
 	reported, _ := m.reportedEstimate(now)
-	return max(float64(m.own+told), reported)
+	return max(float64(m.own+peerReported), reported)
 }
 
 // cautiousEstimate is estimate with what the peers may have sent since their last
 // word: else all gateways would fill the same room at once. It is too high where
 // requests come in clumps, so nothing is refused for it.
-func (c *Core) cautiousEstimate(now time.Time, m *member) float64 {
+func (c *Core) pessimisticEstimate(now time.Time, m *member) float64 {
 	if c.totalsAreFresh(now) {
 		return float64(m.own) + m.others.requests
 	}
-	told, since, heard := c.peers.sum(now, m)
-	if c.config.Disabled[PeersSince] {
-		since = 0
+	reported, unreported, peers := c.peers.sum(now, m)
+	if c.config.Disabled[ExtrapolatePeers] {
+		unreported = 0
 	}
-	return c.complete(now, m, float64(m.own+told)+since, heard)
+	return c.extrapolate(now, m, float64(m.own+reported)+unreported, peers)
 }
 
 // complete makes up for gateways that weren't heard of.
-func (c *Core) complete(now time.Time, m *member, counted float64, heard int) float64 {
-	if heard >= c.gateways-1 {
+func (c *Core) extrapolate(now time.Time, m *member, counted float64, peers int) float64 {
+	if peers >= c.gateways-1 {
 		return counted
 	}
 	if load, ok := m.reportedEstimate(now); ok {
 		return max(load, counted)
 	}
-	return counted * float64(c.gateways) / float64(heard+1)
+	return counted * float64(c.gateways) / float64(peers+1)
 }
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -13,60 +13,60 @@
 	if m == nil {
 		return nil
 	}
-	x.run.End(now, x.whole)
-	if !x.worked {
-		x.endWork(now, m)
+	x.rolloutAttempt.End(now, x.completed)
+	if !x.slotReleased {
+		x.releaseSlot(now, m)
 	}
-	x.worked = false
+	x.slotReleased = false
 	return m
 }
 
 // endWork takes the attempt off the member's load.
-func (x *Exchange) endWork(now time.Time, m *member) {
+func (x *Exchange) releaseSlot(now time.Time, m *member) {
 	m.own = max(m.own-1, 0)
 	m.ended++
 	if x.request.affinity() == "" {
-		m.took += now.Sub(x.sentAt)
+		m.residenceSum += now.Sub(x.sentAt)
 	}
 }
 
 // settle notes that the attempt doesn't wait for the back end any more, once for each attempt.
-func (x *Exchange) settle(m *member) {
-	if !x.settled {
-		x.settled = true
-		m.health.settled()
+func (x *Exchange) endWait(m *member) {
+	if !x.waitEnded {
+		x.waitEnded = true
+		m.health.waitEnded()
 	}
 }
 
 // Worked notes that the back end has done its work, though its answer isn't read yet: the head
 // of an answer that is made before it is sent. A caller who reads slowly must not keep a place
 // at the back end from others.
-func (c *Core) Worked(now time.Time, x *Exchange) {
-	if x.current != nil && !x.worked {
-		x.worked = true
-		x.endWork(now, x.current)
-		x.settle(x.current)
+func (c *Core) ReleaseSlot(now time.Time, x *Exchange) {
+	if x.current != nil && !x.slotReleased {
+		x.slotReleased = true
+		x.releaseSlot(now, x.current)
+		x.endWait(x.current)
 	}
 }
 
 // ended releases the member of the attempt that gave no answer, once its health
 // has taken the outcome.
-func (c *Core) ended(now time.Time, x *Exchange, outcome func(m *member)) {
+func (c *Core) endUnanswered(now time.Time, x *Exchange, outcome func(m *member)) {
 	m := x.release(now)
-	x.settle(m)
+	x.endWait(m)
 	outcome(m)
-	c.noteHealth(now, m)
+	c.recordHealthChange(now, m)
 }
 
 // NotConnected notes that nothing was sent, since no connection could be made.
 func (c *Core) NotConnected(now time.Time, x *Exchange) Decision {
-	c.ended(now, x, func(m *member) {
-		m.health.unreachable(now)
-		c.noteEnd(m)
+	c.endUnanswered(now, x, func(m *member) {
+		m.health.connectFailed(now)
+		c.noteGone(m)
 	})
 	x.attempts--
-	x.connects++
-	if x.connects >= maxConnects {
+	x.failedConnects++
+	if x.failedConnects >= maxFailedConnects {
 		return c.giveUp(now, x, failure.BackendUnreachable, "no back end can be connected to")
 	}
 	return c.attempt(now, x)
@@ -75,54 +75,54 @@
 // Refused notes that the back end said that it did not run the request. Refusing
 // while it has room speaks against it, unless it said for how long.
 func (c *Core) Refused(now time.Time, x *Exchange) Decision {
-	c.ended(now, x, func(m *member) {
-		c.noteLife(now, x, m)
-		if m.health.restLeft(now) == 0 && c.estimate(now, m) < float64(m.backEnd.Slots)/2 {
-			m.health.bad(now, c.errorRate(x.service, m))
+	c.endUnanswered(now, x, func(m *member) {
+		c.noteAnswered(now, x, m)
+		if m.health.retryWait(now) == 0 && c.estimate(now, m) < float64(m.backEnd.Slots)/2 {
+			m.health.failed(now, c.poolErrorRate(x.service, m))
 		} else {
 			m.health.answered(now)
 		}
 	})
-	return c.again(now, x, failure.PoolExhausted, "the back end did not take the request")
+	return c.retryOrGiveUp(now, x, failure.PoolExhausted, "the back end did not take the request")
 }
 
 // Misdirected notes that the address belongs to another back end by now.
 func (c *Core) Misdirected(now time.Time, x *Exchange) Decision {
-	c.ended(now, x, func(m *member) {
-		m.health.unreachable(now)
+	c.endUnanswered(now, x, func(m *member) {
+		m.health.connectFailed(now)
 		m.health.displaced = true
-		c.noteEnd(m)
+		c.noteGone(m)
 	})
-	return c.again(now, x, failure.PoolExhausted, "the back end has gone")
+	return c.retryOrGiveUp(now, x, failure.PoolExhausted, "the back end has gone")
 }
 
 // Broken notes that the connection ended without a whole answer: the request may have run,
 // and may have crashed the back end.
-func (c *Core) Broken(now time.Time, x *Exchange) Decision {
-	c.ended(now, x, func(m *member) {
-		m.health.broke(now)
-		c.noteBreak(now, x, m)
+func (c *Core) ConnectionLost(now time.Time, x *Exchange) Decision {
+	c.endUnanswered(now, x, func(m *member) {
+		m.health.connectionLost(now)
+		c.noteConnectionLost(now, x, m)
 	})
-	return c.unanswered(now, x)
+	return c.afterUnknownOutcome(now, x)
 }
 
 // Unusable notes an answer that isn't the back end's to this request: it may have run.
-func (c *Core) Unusable(now time.Time, x *Exchange) Decision {
-	c.ended(now, x, func(m *member) { m.health.broke(now) })
-	return c.unanswered(now, x)
+func (c *Core) InvalidAnswer(now time.Time, x *Exchange) Decision {
+	c.endUnanswered(now, x, func(m *member) { m.health.connectionLost(now) })
+	return c.afterUnknownOutcome(now, x)
 }
 
 // unanswered decides after an attempt that gave no answer and may have run.
-func (c *Core) unanswered(now time.Time, x *Exchange) Decision {
+func (c *Core) afterUnknownOutcome(now time.Time, x *Exchange) Decision {
 	x.ran = failure.RanUnknown
-	return c.again(now, x, failure.BackendFailed, "the back end broke off before it answered")
+	return c.retryOrGiveUp(now, x, failure.BackendFailed, "the back end broke off before it answered")
 }
 
 // Expired notes that no head came within the attempt's patience or the deadline.
-func (c *Core) Expired(now time.Time, x *Exchange) Decision {
-	c.ended(now, x, func(m *member) { m.health.broke(now) })
+func (c *Core) TimedOut(now time.Time, x *Exchange) Decision {
+	c.endUnanswered(now, x, func(m *member) { m.health.connectionLost(now) })
 	x.ran = failure.RanUnknown
-	return c.again(now, x, failure.TimedOut, "the back end did not answer in time")
+	return c.retryOrGiveUp(now, x, failure.TimedOut, "the back end did not answer in time")
 }
 
 // Failed notes an answer that reports a failure of the back end's own. It is
@@ -130,24 +130,24 @@
 func (c *Core) Failed(now time.Time, x *Exchange) Decision {
 	m := x.current
 	x.ran = failure.RanYes
-	x.run.Failed(now)
-	c.noteLife(now, x, m)
-	c.acquit(x)
+	x.rolloutAttempt.Failed(now)
+	c.noteAnswered(now, x, m)
+	c.clearContents(x)
 	everywhere := c.paths.failsEverywhere(now, x.request.Path) && !c.config.Disabled[FailingPaths]
 	c.paths.note(now, x.request.Path, m.backEnd.Incarnation())
 	if everywhere {
 		m.health.answered(now)
 	} else {
-		m.health.bad(now, c.errorRate(x.service, m))
+		m.health.failed(now, c.poolErrorRate(x.service, m))
 	}
-	c.noteHealth(now, m)
-	if everywhere || !c.mayRepeat(x) || !c.hasOther(now, x) || !c.budget(x.service).Spend() {
+	c.recordHealthChange(now, m)
+	if everywhere || !c.mayRetry(x) || !c.hasAlternative(now, x) || !c.budget(x.service).Spend() {
 		x.phase = Answering
-		x.settle(m)
+		x.endWait(m)
 		return Decision{}
 	}
 	x.release(now)
-	x.settle(m)
+	x.endWait(m)
 	return c.attempt(now, x)
 }
 
@@ -157,11 +157,11 @@
 	m := x.current
 	x.phase = Answering
 	x.ran = failure.RanYes
-	x.run.Answered(now)
-	x.settle(m)
-	m.health.good(now)
-	c.noteHealth(now, m)
-	c.noteLife(now, x, m)
+	x.rolloutAttempt.Answered(now)
+	x.endWait(m)
+	m.health.succeeded(now)
+	c.recordHealthChange(now, m)
+	c.noteAnswered(now, x, m)
 	c.paths.clear(x.request.Path)
 	if load >= 0 {
 		m.report(now, load)
@@ -174,12 +174,12 @@
 
 // Cut notes that an answer broke off after its head, and decides whether the
 // stream is continued elsewhere.
-func (c *Core) Cut(now time.Time, x *Exchange) Decision {
+func (c *Core) Truncated(now time.Time, x *Exchange) Decision {
 	m := x.release(now)
-	m.health.broke(now)
-	c.noteHealth(now, m)
-	c.noteBreak(now, x, m)
-	if !x.request.Route.Resumable || c.config.Disabled[Resumption] || !c.mayRepeat(x) || !c.hasOther(now, x) || !c.budget(x.service).Spend() {
+	m.health.connectionLost(now)
+	c.recordHealthChange(now, m)
+	c.noteConnectionLost(now, x, m)
+	if !x.request.Route.Resumable || c.config.Disabled[Resumption] || !c.mayRetry(x) || !c.hasAlternative(now, x) || !c.budget(x.service).Spend() {
 		x.phase = Ended
 		return Decision{GiveUp: failure.New(failure.StreamBroken, "the back end broke off in its answer")}
 	}
@@ -190,47 +190,47 @@
 func (c *Core) Done(now time.Time, x *Exchange) {
 	waiting := x.phase == Sent
 	if m := x.release(now); m != nil && waiting {
-		x.settle(m)
+		x.endWait(m)
 	}
 	x.phase = Ended
 }
 
 // again decides on another attempt after one that gave no answer.
-func (c *Core) again(now time.Time, x *Exchange, kind failure.Kind, message string) Decision {
-	if c.config.Disabled[FurtherAttempts] {
+func (c *Core) retryOrGiveUp(now time.Time, x *Exchange, kind failure.Kind, message string) Decision {
+	if c.config.Disabled[Retries] {
 		return c.giveUp(now, x, kind, message)
 	}
 	once := !c.config.Disabled[AtMostOnce]
 	if once && x.ran != failure.RanNo && !x.request.Route.MayRepeat() {
 		return c.giveUp(now, x, kind, message)
 	}
-	if once && x.attempts >= x.request.Route.MaxAttempts || !c.hasOther(now, x) || !c.budget(x.service).Spend() {
+	if once && x.attempts >= x.request.Route.MaxAttempts || !c.hasAlternative(now, x) || !c.budget(x.service).Spend() {
 		return c.giveUp(now, x, kind, message)
 	}
 	return c.attempt(now, x)
 }
 
-func (c *Core) mayRepeat(x *Exchange) bool {
-	if c.config.Disabled[FurtherAttempts] {
+func (c *Core) mayRetry(x *Exchange) bool {
+	if c.config.Disabled[Retries] {
 		return false
 	}
 	return x.request.Route.MayRepeat() && x.attempts < x.request.Route.MaxAttempts
 }
 
-func (c *Core) hasOther(now time.Time, x *Exchange) bool {
+func (c *Core) hasAlternative(now time.Time, x *Exchange) bool {
 	c.pickSide(now, x)
 	return len(c.candidates(now, x)) > 0
 }
 
 // errorRate is the mean error rate of the service's other members.
-func (c *Core) errorRate(service string, but *member) float64 {
+func (c *Core) poolErrorRate(service string, except *member) float64 {
 	pool := c.pools[service]
 	if pool == nil || len(pool.members) < 2 {
 		return 1
 	}
 	total := 0.0
 	for _, m := range pool.members {
-		if m != but {
+		if m != except {
 			total += m.health.errorRate
 		}
 	}
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -9,15 +9,15 @@
 const (
 	// tolerableLag is the lasting delay of this process up to which it takes every
 	// request, and hopelessLag that from which it takes the fewest.
-	tolerableLag = 100 * time.Millisecond
-	hopelessLag  = 500 * time.Millisecond
+	minSheddingLag = 100 * time.Millisecond
+	maxSheddingLag = 500 * time.Millisecond
 	// mostRefused is the largest share of the least urgent requests that is refused:
 	// some are always taken, so that no kind is starved.
-	mostRefused = 0.8
+	maxSheddingShare = 0.8
 	// urgentAllowance is by how much smaller the share is for each more urgent rank.
-	urgentAllowance = 0.06
+	sheddingShareStep = 0.06
 	// leastUrgent is the last rank.
-	leastUrgent = 9
+	lowestUrgency = 9
 )
 
 // HasTime tells whether this process has time for one more request. Where it runs
@@ -25,9 +25,9 @@
 // at once, the least urgent first, and find another gateway. lasting is a delay that
 // isn't over after one moment, such as a pause of the whole process. The choice is
 // a hash of the request, so that a caller that comes back has a new chance.
-func HasTime(lasting time.Duration, urgency int, id string) bool {
-	over := float64(lasting-tolerableLag) / float64(hopelessLag-tolerableLag)
-	share := mostRefused*min(max(over, 0), 1) - urgentAllowance*float64(leastUrgent-min(urgency, leastUrgent))
+func ShouldAdmit(sustainedLag time.Duration, urgency int, id string) bool {
+	over := float64(sustainedLag-minSheddingLag) / float64(maxSheddingLag-minSheddingLag)
+	share := maxSheddingShare*min(max(over, 0), 1) - sheddingShareStep*float64(lowestUrgency-min(urgency, lowestUrgency))
 	if over <= 0 || share <= 0 {
 		return true
 	}
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -8,24 +8,24 @@
 	"github.com/matryer/is"
 )
 
-func takenShare(lasting time.Duration, urgency int) float64 {
-	taken := 0
+func admittedShare(lasting time.Duration, urgency int) float64 {
+	admitted := 0
 	for i := range 1000 {
-		if HasTime(lasting, urgency, fmt.Sprint("request-", i)) {
-			taken++
+		if ShouldAdmit(lasting, urgency, fmt.Sprint("request-", i)) {
+			admitted++
 		}
 	}
-	return float64(taken) / 1000
+	return float64(admitted) / 1000
 }
 
-func TestProcessThatRunsLateRefusesTheLeastUrgentFirst(t *testing.T) {
+func TestLaggingProcessShedsLeastUrgentRequestsFirst(t *testing.T) {
 	is := is.New(t)
-	is.Equal(takenShare(0, 9), 1.0)
-	is.Equal(takenShare(tolerableLag, 9), 1.0)
-	is.True(takenShare(300*time.Millisecond, 9) < takenShare(300*time.Millisecond, 0))
-	is.True(takenShare(time.Minute, 9) > 0.1) // none is starved
-	is.True(takenShare(time.Minute, 0) < 1)
+	is.Equal(admittedShare(0, 9), 1.0)
+	is.Equal(admittedShare(minSheddingLag, 9), 1.0)
+	is.True(admittedShare(300*time.Millisecond, 9) < admittedShare(300*time.Millisecond, 0))
+	is.True(admittedShare(time.Minute, 9) > 0.1) // none is starved
+	is.True(admittedShare(time.Minute, 0) < 1)
 	for rank := range 9 {
-		is.True(takenShare(400*time.Millisecond, rank) >= takenShare(400*time.Millisecond, rank+1))
+		is.True(admittedShare(400*time.Millisecond, rank) >= admittedShare(400*time.Millisecond, rank+1))
 	}
 }
--- a/internal/dispatch/paths.go
+++ b/internal/dispatch/paths.go
@@ -10,9 +10,9 @@
 
 const (
 	// rememberedPaths bounds the memory for paths that failed.
-	rememberedPaths = 4096
+	maxRememberedPaths = 4096
 	// failingTime is how long a path is believed to fail everywhere.
-	failingTime = 30 * time.Second
+	pathFailureTTL = 30 * time.Second
 )
 
 // pathMemory remembers paths that failed on two back ends: a further attempt
@@ -28,7 +28,7 @@
 }
 
 func newPathMemory() *pathMemory {
-	failed, err := lru.New[string, pathFailure](rememberedPaths)
+	failed, err := lru.New[string, pathFailure](maxRememberedPaths)
 	if err != nil {
 		panic(err) // the size is fixed and above 0
 	}
@@ -38,7 +38,7 @@
 // note takes a failure of the path at a back end.
 func (p *pathMemory) note(now time.Time, path string, backEnd catalog.Incarnation) {
 	known, ok := p.failed.Get(path)
-	everywhere := ok && now.Sub(known.at) < failingTime && (known.everywhere || known.backEnd != backEnd)
+	everywhere := ok && now.Sub(known.at) < pathFailureTTL && (known.everywhere || known.backEnd != backEnd)
 	p.failed.Add(path, pathFailure{backEnd: backEnd, everywhere: everywhere, at: now})
 }
 
@@ -49,5 +49,5 @@
 // late.
 func (p *pathMemory) failsEverywhere(now time.Time, path string) bool {
 	known, ok := p.failed.Peek(path)
-	return ok && known.everywhere && now.Sub(known.at) < failingTime
+	return ok && known.everywhere && now.Sub(known.at) < pathFailureTTL
 }
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -9,8 +9,8 @@
 
 // choose returns the member for the next attempt, or nil when none has room.
 func (c *Core) choose(now time.Time, x *Exchange) *member {
-	chosen := c.chooseAmong(now, x, c.withoutSpent(now, c.candidates(now, x)))
-	if chosen != nil && c.warmsUp(now, chosen) {
+	chosen := c.chooseAmong(now, x, c.withWarmUpQuota(now, c.candidates(now, x)))
+	if chosen != nil && c.isWarmingUp(now, chosen) {
 		chosen.warmUpSends = append(chosen.warmUpSends, now)
 	}
 	return chosen
@@ -22,7 +22,7 @@
 		return nil
 	}
 	if x.request.affinity() != "" && !c.config.Disabled[Affinity] {
-		return c.chooseCaching(now, x, candidates)
+		return c.chooseByAffinity(now, x, candidates)
 	}
 	chosen := c.leastLoaded(now, x, candidates)
 	if chosen != nil {
@@ -36,30 +36,30 @@
 // member's: then all that can be reached are, so that a few don't carry the load of
 // all; and where none can be, all are.
 func (c *Core) candidates(now time.Time, x *Exchange) []*member {
-	pool := c.poolOf(now, x.service)
+	pool := c.poolMembers(now, x.service)
 	c.usable = c.usable[:0]
-	staying := 0
+	eligible := 0
 	for _, m := range pool {
-		if !c.mayTake(now, x, m) {
+		if !c.isEligible(now, x, m) {
 			continue
 		}
-		staying++
+		eligible++
 		if m.health.usable(now, x.request.Route.MayRepeat()) {
 			c.usable = append(c.usable, m)
 		}
 	}
-	if len(c.usable) > 0 && (2*len(c.usable) >= staying || c.config.Disabled[WholePool]) {
+	if len(c.usable) > 0 && (2*len(c.usable) >= eligible || c.config.Disabled[WholePool]) {
 		return c.usable
 	}
-	return c.inTrouble(now, x, pool)
+	return c.fallbackCandidates(now, x, pool)
 }
 
 // inTrouble returns those of a pool in trouble that can be reached, or all where none can
 // be.
-func (c *Core) inTrouble(now time.Time, x *Exchange, pool []*member) []*member {
+func (c *Core) fallbackCandidates(now time.Time, x *Exchange, pool []*member) []*member {
 	var reachable, all []*member
 	for _, m := range pool {
-		if !c.mayTake(now, x, m) {
+		if !c.isEligible(now, x, m) {
 			continue
 		}
 		all = append(all, m)
@@ -75,16 +75,16 @@
 
 // mayTake tells whether the member is open to the request, hasn't had it, and didn't ask to be
 // left alone. No way to a back end goes around it.
-func (c *Core) mayTake(now time.Time, x *Exchange, m *member) bool {
-	return c.isOpen(now, x, m) && !x.wasTried(m) && m.health.restLeft(now) == 0
+func (c *Core) isEligible(now time.Time, x *Exchange, m *member) bool {
+	return c.acceptsNew(now, x, m) && !x.wasTried(m) && m.health.retryWait(now) == 0
 }
 
 // isOpen tells whether the member is neither leaving nor evacuated, and of the version that may
 // have the request.
-func (c *Core) isOpen(now time.Time, x *Exchange, m *member) bool {
+func (c *Core) acceptsNew(now time.Time, x *Exchange, m *member) bool {
 	leaves := m.backEnd.Leaving && !c.config.Disabled[RespectLeaving]
 	evacuated := m.evacuated && !c.config.Disabled[RespectEvacuations]
-	return !leaves && !evacuated && c.isOnSide(now, x, m)
+	return !leaves && !evacuated && c.allowedByRollout(now, x, m)
 }
 
 // capacity is the load up to which a back end is given requests of an urgency.
@@ -124,17 +124,17 @@
 
 // chooseCaching returns the first member within the bound on load, in the order of
 // preference.
-func (c *Core) chooseCaching(now time.Time, x *Exchange, candidates []*member) *member {
+func (c *Core) chooseByAffinity(now time.Time, x *Exchange, candidates []*member) *member {
 	bound := c.bound(now, x)
 	overflow := 0.0
-	c.prefer(now, x, candidates)
+	c.orderByPreference(now, x, candidates)
 	for m := c.nextPreferred(); m != nil; m = c.nextPreferred() {
 		var chance float64
-		chance, overflow = c.chanceOfRoom(now, m, bound, overflow)
+		chance, overflow = c.admissionChance(now, m, bound, overflow)
 		// Noted afterwards: a rate that counts the request itself would be too high by
 		// one a second.
 		m.demand.note(now)
-		if drawsLot(x, m, chance) && c.hasRoom(now, m, x) {
+		if winsLottery(x, m, chance) && c.hasRoom(now, m, x) {
 			return m
 		}
 	}
@@ -144,27 +144,27 @@
 // scarceMemory is the share of a member's memory from which it counts as scarce. Below
 // it nothing gives way early, and the order alone decides: that is the one thing that
 // gateways agree on after all of them have restarted.
-const scarceMemory = 0.5
+const scarceMemoryShare = 0.5
 
 // preference yields candidates in the order of choice.
 type preference struct {
 	ranking ranking
 	// homeChosen is set once a member that holds nothing was yielded, and second is the
 	// one that it was weighed against.
-	homeChosen bool
-	second     *member
+	nonHolderYielded bool
+	second           *member
 }
 
 // prefer orders the candidates by choice: first those that are believed to hold the
 // prompt's shared parts, then the others, each in rendezvous order. So a part is read by
 // the same member whichever gateway a caller meets, and a member that joins takes over
 // what finds no room at its holders.
-func (c *Core) prefer(now time.Time, x *Exchange, candidates []*member) {
-	holding := c.holders.holding(now, keyOf(x.request.affinity()))
-	c.order.homeChosen = c.config.Disabled[EvenMemory]
+func (c *Core) orderByPreference(now time.Time, x *Exchange, candidates []*member) {
+	holders := c.holders.holdersOf(now, keyOf(x.request.affinity()))
+	c.order.nonHolderYielded = c.config.Disabled[BalanceMemory]
 	c.order.second = nil
 	c.order.ranking.rank(x.request.affinity(), candidates, func(m *member) bool {
-		return slices.ContainsFunc(holding, m.backEnd.Incarnation().IsSame) && !c.config.Disabled[HoldersFirst]
+		return slices.ContainsFunc(holders, m.backEnd.Incarnation().IsSame) && !c.config.Disabled[HoldersFirst]
 	})
 }
 
@@ -177,20 +177,20 @@
 		c.order.second = nil
 		return second
 	}
-	if c.order.homeChosen || c.order.ranking.firstIsPreferred() {
+	if c.order.nonHolderYielded || c.order.ranking.firstIsPreferred() {
 		return c.order.ranking.next()
 	}
-	c.order.homeChosen = true
-	home := c.order.ranking.next()
-	if home == nil || c.memoryShare(home) <= scarceMemory {
-		return home
+	c.order.nonHolderYielded = true
+	first := c.order.ranking.next()
+	if first == nil || c.memoryShare(first) <= scarceMemoryShare {
+		return first
 	}
 	second := c.order.ranking.next()
-	if second != nil && c.memoryShare(second) < c.memoryShare(home) {
-		home, second = second, home
+	if second != nil && c.memoryShare(second) < c.memoryShare(first) {
+		first, second = second, first
 	}
 	c.order.second = second
-	return home
+	return first
 }
 
 // memoryShare is the share of a member's memory that the prompts it is believed to
@@ -205,7 +205,7 @@
 
 // otherZone is added to the load of a member in another zone, so that an equal
 // choice stays in the zone.
-const otherZone = 0.5
+const otherZonePenalty = 0.5
 
 // leastLoaded returns the member with the least load for its slots, or nil when all are
 // full; where loads are known late, one by lot (spread.go). Ties are broken by a hash of the
@@ -223,7 +223,7 @@
 		}
 		load := c.estimate(now, m)
 		if m.backEnd.Zone != c.config.Zone && !c.config.Disabled[OwnZone] {
-			load += otherZone
+			load += otherZonePenalty
 		}
 		load /= float64(max(m.backEnd.Slots, 1))
 		hash := xxhash.Sum64String(x.request.ID + m.backEnd.ID)
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -9,7 +9,7 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-func TestGatewaysAgreeOnThePlaceOfAPart(t *testing.T) {
+func TestGatewaysPlaceAPartAlike(t *testing.T) {
 	is := is.New(t)
 	first, second := newCore(backEnds(18, 64)), newCore(backEnds(18, 64))
 	for i := range 50 {
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestPartsAreFetchedFromTheirHolder(t *testing.T) {
+func TestPartsAreCopiedFromTheirHolder(t *testing.T) {
 	is := is.New(t)
 	list := backEnds(4, 64)
 	core := newCore(list)
@@ -42,7 +42,7 @@
 
 // A gateway that has started anew knows no holder: a member that joined copies
 // from the one whose place it took, though that one is leaving.
-func TestJoinerCopiesFromThePlaceItTook(t *testing.T) {
+func TestNewMemberCopiesFromTheLeavingMemberItReplaces(t *testing.T) {
 	is := is.New(t)
 	list := backEnds(6, 64)
 	found := 0
@@ -68,20 +68,20 @@
 
 // A back end whose connections broke is left alone, but can still be copied from;
 // one that can't be reached can't.
-func TestPartsAreFetchedFromAnEjectedHolder(t *testing.T) {
+func TestPartsAreCopiedFromAnEjectedHolder(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(4, 64))
 	parts := []Part{{ID: "shared", Tokens: 9000}, {ID: "own"}}
 	holder := catalog.BackEnd{}
-	for range breaksToEject {
+	for range failuresToEject {
 		x, decision := core.Begin(start, request(repeatable(1), "a", parts...))
 		holder = decision.Send.BackEnd
-		core.Broken(start, x)
+		core.ConnectionLost(start, x)
 	}
 	_, decision := core.Begin(start, request(repeatable(1), "b", parts...))
 	is.True(decision.Send.BackEnd.ID != holder.ID)
 	is.Equal(decision.Send.FetchFrom, holder.Address)
-	core.members[holder.ID].health.unreachable(start)
+	core.members[holder.ID].health.connectFailed(start)
 	_, decision = core.Begin(start, request(repeatable(1), "c", parts...))
 	is.True(decision.Send.FetchFrom != holder.Address)
 }
--- a/internal/dispatch/rollouts.go
+++ b/internal/dispatch/rollouts.go
@@ -12,7 +12,7 @@
 // versionHold is how long the back ends of a version that is new to a service get nothing
 // where operators move services to other versions: they start with the order, and a gateway may
 // hear of them before it hears of that.
-const versionHold = 2 * time.Second
+const newVersionHold = 2 * time.Second
 
 // rollouts are the orders to move services to other versions.
 type rollouts struct {
@@ -24,9 +24,9 @@
 	withdrawn map[string]bool
 	// endedAt is when an order was last withdrawn, by its ID: what peers say of it from before
 	// doesn't speak of one that is given anew.
-	endedAt map[uint32]time.Time
+	withdrawnAt map[uint32]time.Time
 	// familiar are the versions of each service that may serve without an order.
-	familiar map[string]map[string]bool
+	established map[string]map[string]bool
 	// changes are what is to be logged.
 	changes []RolloutChange
 }
@@ -35,7 +35,7 @@
 type RolloutChange struct {
 	// Order is what is moved, and Kind what happened.
 	Order rollout.Order
-	Kind  RolloutStep
+	Step  RolloutStep
 	// Finding is why the candidate was given up, where this gateway found so.
 	Finding *rollout.Finding
 }
@@ -55,8 +55,8 @@
 
 func newRollouts(limits rollout.Limits) rollouts {
 	return rollouts{
-		limits: limits, byService: map[string]*rollout.Judge{}, withdrawn: map[string]bool{}, endedAt: map[uint32]time.Time{},
-		familiar: map[string]map[string]bool{},
+		limits: limits, byService: map[string]*rollout.Judge{}, withdrawn: map[string]bool{}, withdrawnAt: map[uint32]time.Time{},
+		established: map[string]map[string]bool{},
 	}
 }
 
@@ -66,17 +66,17 @@
 // SetRollouts replaces the list of orders. ages are how long ago those were given whose
 // beginning stands in the store.
 func (c *Core) SetRollouts(now time.Time, list []catalog.Rollout, ages map[string]time.Duration) {
-	standing := map[string]bool{}
+	current := map[string]bool{}
 	for _, each := range list {
-		standing[each.Service] = true
+		current[each.Service] = true
 		c.setRollout(now, each, ages[each.Service])
 	}
 	for _, service := range slices.Sorted(maps.Keys(c.rollouts.byService)) {
-		if !standing[service] {
+		if !current[service] {
 			c.withdrawRollout(now, service)
 		}
 	}
-	c.noteCandidates(now)
+	c.refreshRollouts(now)
 }
 
 func (c *Core) setRollout(now time.Time, record catalog.Rollout, age time.Duration) {
@@ -85,13 +85,13 @@
 		judge = rollout.NewJudge(now, record.Order(), c.rollouts.limits)
 		judge.SetGateways(c.gateways)
 		c.rollouts.byService[record.Service] = judge
-		c.noteRollout(record.Order(), RolloutBegan, nil)
+		c.recordRolloutChange(record.Order(), RolloutBegan, nil)
 	}
 	delete(c.rollouts.withdrawn, record.Service)
 	before := judge.State()
 	judge.SetState(record.State)
 	if record.State.IsVerdict() && !before.IsVerdict() {
-		c.noteRollout(record.Order(), RolloutEnded, nil)
+		c.recordRolloutChange(record.Order(), RolloutEnded, nil)
 	}
 	if age > 0 {
 		judge.Hear(now, rollout.Mark{Order: record.Order().ID(), AgeMillis: age.Milliseconds()})
@@ -107,17 +107,17 @@
 	judge := c.rollouts.byService[service]
 	c.rollouts.withdrawn[service] = true
 	if judge.State() == rollout.Completed {
-		c.familiarize(service, judge.Order().Target)
+		c.addEstablished(service, judge.Order().Target)
 		delete(c.rollouts.byService, service)
 	} else if !judge.State().IsVerdict() {
 		judge.SetState(rollout.Reverted)
-		c.noteRollout(judge.Order(), RolloutEnded, nil)
+		c.recordRolloutChange(judge.Order(), RolloutEnded, nil)
 	}
-	c.rollouts.endedAt[judge.Order().ID()] = now
+	c.rollouts.withdrawnAt[judge.Order().ID()] = now
 }
 
-func (c *Core) noteRollout(order rollout.Order, step RolloutStep, finding *rollout.Finding) {
-	c.rollouts.changes = append(c.rollouts.changes, RolloutChange{Order: order, Kind: step, Finding: finding})
+func (c *Core) recordRolloutChange(order rollout.Order, step RolloutStep, finding *rollout.Finding) {
+	c.rollouts.changes = append(c.rollouts.changes, RolloutChange{Order: order, Step: step, Finding: finding})
 }
 
 // TakeRolloutChanges returns the steps since the last call.
@@ -129,13 +129,13 @@
 
 // noteCandidates tells the judges whether their candidates are in service, and learns the
 // versions that need no order.
-func (c *Core) noteCandidates(now time.Time) {
+func (c *Core) refreshRollouts(now time.Time) {
 	if !c.rollouts.enabled() {
 		return
 	}
 	for service, judge := range c.rollouts.byService {
 		target := judge.Order().Target
-		candidates, standing := c.inService(service, target)
+		candidates, standing := c.versionsInService(service, target)
 		judge.SetCandidates(now, candidates)
 		if c.rollouts.withdrawn[service] && !(candidates && standing) {
 			delete(c.rollouts.byService, service)
@@ -143,24 +143,24 @@
 		}
 	}
 	for service, pool := range c.pools {
-		isFirst := c.rollouts.familiar[service] == nil
+		isFirst := c.rollouts.established[service] == nil
 		for _, m := range pool.members {
-			if c.rollouts.byService[service] == nil && (isFirst || now.Sub(m.since) >= versionHold) {
-				c.familiarize(service, m.backEnd.Version)
+			if c.rollouts.byService[service] == nil && (isFirst || now.Sub(m.firstSeen) >= newVersionHold) {
+				c.addEstablished(service, m.backEnd.Version)
 			}
 		}
 	}
 }
 
-func (c *Core) familiarize(service, version string) {
-	if c.rollouts.familiar[service] == nil {
-		c.rollouts.familiar[service] = map[string]bool{}
+func (c *Core) addEstablished(service, version string) {
+	if c.rollouts.established[service] == nil {
+		c.rollouts.established[service] = map[string]bool{}
 	}
-	c.rollouts.familiar[service][version] = true
+	c.rollouts.established[service][version] = true
 }
 
 // inService tells whether back ends of the target version, and of others, are in service.
-func (c *Core) inService(service, target string) (candidates, standing bool) {
+func (c *Core) versionsInService(service, target string) (candidates, standing bool) {
 	pool := c.pools[service]
 	if pool == nil {
 		return false, false
@@ -184,7 +184,7 @@
 	if judge == nil {
 		return
 	}
-	if x.attempts+x.connects == 0 {
+	if x.attempts+x.failedConnects == 0 {
 		x.side = judge.Side(now, x.request.Route.Name, x.request.ID)
 		return
 	}
@@ -193,7 +193,7 @@
 
 // yieldSide lets a request for which the candidate has no room go to the standing version,
 // and tells whether it may.
-func (c *Core) yieldSide(x *Exchange) bool {
+func (c *Core) fallBackToStanding(x *Exchange) bool {
 	judge := c.rollouts.byService[x.service]
 	if judge == nil || x.side != rollout.Candidate || !judge.Allows(rollout.Standing) {
 		return false
@@ -203,14 +203,14 @@
 }
 
 // isOnSide tells whether a move to another version lets the exchange go to the member.
-func (c *Core) isOnSide(now time.Time, x *Exchange, m *member) bool {
+func (c *Core) allowedByRollout(now time.Time, x *Exchange, m *member) bool {
 	if !c.rollouts.enabled() || c.config.Disabled[Exposure] {
 		return true
 	}
 	judge := c.rollouts.byService[m.backEnd.Service]
 	if judge == nil {
-		versions := c.rollouts.familiar[m.backEnd.Service]
-		return versions == nil || versions[m.backEnd.Version] || now.Sub(m.since) >= versionHold
+		versions := c.rollouts.established[m.backEnd.Service]
+		return versions == nil || versions[m.backEnd.Version] || now.Sub(m.firstSeen) >= newVersionHold
 	}
 	side := sideOf(judge, m)
 	if !judge.Allows(side) {
@@ -229,15 +229,15 @@
 }
 
 // noteRun lets the judge of a move follow the attempt.
-func (c *Core) noteRun(now time.Time, x *Exchange, m *member) {
-	x.run = nil
+func (c *Core) startRolloutAttempt(now time.Time, x *Exchange, m *member) {
+	x.rolloutAttempt = nil
 	judge := c.rollouts.byService[x.service]
 	if judge == nil || judge.State().IsVerdict() {
 		return
 	}
-	x.run = judge.Send(now, sideOf(judge, m), rollout.Facts{
+	x.rolloutAttempt = judge.Send(now, sideOf(judge, m), rollout.Facts{
 		Route: x.request.Route.Name, BackEnd: m.backEnd.ID, First: len(x.tried) == 1,
-		Stream: x.request.Route.Stream, Cold: now.Before(m.coldUntil) || m.mayStartAgain,
+		Stream: x.request.Route.Stream, Cold: now.Before(m.coldUntil) || m.mayHaveRestarted,
 	})
 }
 
@@ -263,11 +263,11 @@
 
 // TakeTallies takes the tallies of all gateways of a large fleet, so many of those expected, in
 // which those that this one told are counted in.
-func (c *Core) TakeTallies(now time.Time, told []rollout.Tally, totals Totals) {
+func (c *Core) SetTallyTotals(now time.Time, reported []rollout.Tally, totals Totals) {
 	if totals.Counted < 1 {
 		return
 	}
-	own := byKey[rollout.Key](told)
+	own := byKey[rollout.Key](reported)
 	others := make([]rollout.Tally, 0, len(totals.Tallies))
 	for _, each := range totals.Tallies {
 		others = append(others, each.Minus(own[each.Key]))
@@ -278,7 +278,7 @@
 }
 
 // PeerTallies takes one gateway's tallies in a small fleet.
-func (c *Core) PeerTallies(now time.Time, peer string, tallies []rollout.Tally) {
+func (c *Core) SetPeerTallies(now time.Time, peer string, tallies []rollout.Tally) {
 	for _, judge := range c.activeJudges() {
 		judge.TakePeer(now, peer, tallies)
 	}
@@ -294,15 +294,15 @@
 }
 
 // HearMarks takes a peer's marks, and tells whether a candidate was given up by them.
-func (c *Core) HearMarks(now time.Time, marks []rollout.Mark) (abandoned bool) {
+func (c *Core) MergeMarks(now time.Time, marks []rollout.Mark) (abandoned bool) {
 	for _, mark := range marks {
 		age := time.Duration(mark.AgeMillis) * time.Millisecond
-		if endedAt, ended := c.rollouts.endedAt[mark.Order]; ended && now.Add(-age).Before(endedAt) {
+		if withdrawnAt, withdrawn := c.rollouts.withdrawnAt[mark.Order]; withdrawn && now.Add(-age).Before(withdrawnAt) {
 			continue
 		}
 		for _, judge := range c.activeJudges() {
 			if judge.Hear(now, mark) {
-				c.noteRollout(judge.Order(), RolloutAbandoned, nil)
+				c.recordRolloutChange(judge.Order(), RolloutAbandoned, nil)
 				abandoned = true
 			}
 		}
@@ -311,10 +311,10 @@
 }
 
 // LookAtRollouts weighs the evidence, and tells whether a candidate is given up by it.
-func (c *Core) LookAtRollouts(now time.Time) (abandoned bool) {
+func (c *Core) EvaluateRollouts(now time.Time) (abandoned bool) {
 	for _, judge := range c.activeJudges() {
 		if judge.Look(now) {
-			c.noteRollout(judge.Order(), RolloutAbandoned, judge.Finding())
+			c.recordRolloutChange(judge.Order(), RolloutAbandoned, judge.Finding())
 			abandoned = true
 		}
 	}
@@ -322,16 +322,16 @@
 }
 
 // RolloutsDue returns the states that the store should show by now, by service.
-func (c *Core) RolloutsDue(now time.Time) map[string]RolloutDue {
-	due := map[string]RolloutDue{}
+func (c *Core) DueRolloutStates(now time.Time) map[string]DueRolloutState {
+	due := map[string]DueRolloutState{}
 	for service, judge := range c.rollouts.byService {
-		due[service] = RolloutDue{State: judge.Due(now), Age: judge.Age(now)}
+		due[service] = DueRolloutState{State: judge.Due(now), Age: judge.Age(now)}
 	}
 	return due
 }
 
 // RolloutDue is the state that the store should show of an order of that age.
-type RolloutDue struct {
+type DueRolloutState struct {
 	State rollout.State
 	Age   time.Duration
 }
--- a/internal/dispatch/shared_bound_test.go
+++ b/internal/dispatch/shared_bound_test.go
@@ -11,15 +11,15 @@
 
 // crowd plays gateways that share a pool without asking each other: each tells
 // its loads every 200 ms, and much of the traffic is for one prompt part.
-type crowd struct {
-	random   *rand.Rand
-	cores    []*Core
-	now      time.Time
-	ends     []ending
-	loads    map[string]int
-	total    int
-	sent     int
-	overfull int
+type gatewayFleet struct {
+	random    *rand.Rand
+	cores     []*Core
+	now       time.Time
+	running   []runningRequest
+	loads     map[string]int
+	total     int
+	sent      int
+	overBound int
 	// multiple is the operators' bound on load in multiples of the mean.
 	multiple float64
 	members  int
@@ -29,8 +29,8 @@
 }
 
 // newCrowd returns gateways that were told the multiple and all know each other.
-func newCrowd(gateways int, multiple float64) *crowd {
-	c := newLargeCrowd(gateways, crowdMembers, multiple)
+func newConnectedFleet(gateways int, multiple float64) *gatewayFleet {
+	c := newRingFleet(gateways, fleetMembers, multiple)
 	for i := range c.neighbours {
 		c.neighbours[i] = nil
 		for j := range gateways {
@@ -44,8 +44,8 @@
 
 // newLargeCrowd returns gateways that tell their news to neighbours at doubling
 // distances on a ring.
-func newLargeCrowd(gateways, members int, multiple float64) *crowd {
-	c := &crowd{
+func newRingFleet(gateways, members int, multiple float64) *gatewayFleet {
+	c := &gatewayFleet{
 		random: rand.New(rand.NewPCG(7, 7)), now: start, loads: map[string]int{}, multiple: multiple,
 		members: members, neighbours: make([][]int, gateways),
 	}
@@ -63,30 +63,30 @@
 	return c
 }
 
-type ending struct {
-	at   time.Time
-	core *Core
-	x    *Exchange
-	id   string
+type runningRequest struct {
+	endsAt time.Time
+	core   *Core
+	x      *Exchange
+	id     string
 }
 
 const (
-	crowdStep    = time.Millisecond
-	crowdPeriod  = 200 * time.Millisecond
-	crowdMembers = 18
-	meanRun      = 900 * time.Millisecond
+	fleetStep          = time.Millisecond
+	loadReportInterval = 200 * time.Millisecond
+	fleetMembers       = 18
+	meanRequestTime    = 900 * time.Millisecond
 	// allowedMultiple and allowedSlack are the operators' bound on load.
 	allowedMultiple = 2
 	allowedSlack    = 3
 )
 
-func (c *crowd) step(perSecond, hotShare float64) {
-	c.now = c.now.Add(crowdStep)
-	c.end()
-	if c.now.Sub(start)%crowdPeriod == 0 {
+func (c *gatewayFleet) step(perSecond, hotShare float64) {
+	c.now = c.now.Add(fleetStep)
+	c.finishDue()
+	if c.now.Sub(start)%loadReportInterval == 0 {
 		c.exchangeLoads()
 	}
-	expected := perSecond * crowdStep.Seconds()
+	expected := perSecond * fleetStep.Seconds()
 	for ; expected > 0; expected-- {
 		if c.random.Float64() < expected {
 			c.send(hotShare)
@@ -94,30 +94,30 @@
 	}
 }
 
-func (c *crowd) end() {
-	kept := c.ends[:0]
-	for _, each := range c.ends {
-		if each.at.After(c.now) {
-			kept = append(kept, each)
+func (c *gatewayFleet) finishDue() {
+	running := c.running[:0]
+	for _, each := range c.running {
+		if each.endsAt.After(c.now) {
+			running = append(running, each)
 			continue
 		}
-		each.core.Done(each.at, each.x)
+		each.core.Done(each.endsAt, each.x)
 		c.loads[each.id]--
 		c.total--
 	}
-	c.ends = kept
+	c.running = running
 }
 
-func (c *crowd) exchangeLoads() {
+func (c *gatewayFleet) exchangeLoads() {
 	for i, from := range c.cores {
 		loads := from.Loads()
 		for _, j := range c.neighbours[i] {
-			c.cores[j].PeerLoads(c.now, fmt.Sprint(i), loads)
+			c.cores[j].SetPeerLoads(c.now, fmt.Sprint(i), loads)
 		}
 	}
 }
 
-func (c *crowd) send(hotShare float64) {
+func (c *gatewayFleet) send(hotShare float64) {
 	core := c.cores[c.random.IntN(len(c.cores))]
 	part := "hot"
 	if c.random.Float64() > hotShare {
@@ -136,25 +136,25 @@
 	core.Answered(c.now, x, c.loads[id])
 	c.total++
 	if float64(c.loads[id]) > c.multiple*float64(c.total)/float64(c.members)+allowedSlack {
-		c.overfull++
+		c.overBound++
 	}
-	run := time.Duration(c.random.ExpFloat64() * float64(meanRun))
-	c.ends = append(c.ends, ending{at: c.now.Add(run), core: core, x: x, id: id})
+	run := time.Duration(c.random.ExpFloat64() * float64(meanRequestTime))
+	c.running = append(c.running, runningRequest{endsAt: c.now.Add(run), core: core, x: x, id: id})
 }
 
-func TestGatewaysTogetherKeepTheBound(t *testing.T) {
+func TestConnectedGatewaysKeepTheBound(t *testing.T) {
 	for _, multiple := range []float64{1.3, 1.4, allowedMultiple, 3} {
 		for _, gateways := range []int{4, 9} {
 			for _, perSecond := range []float64{240, 800} {
 				for _, hotShare := range []float64{0.1, 0.5} {
 					t.Run(fmt.Sprint(multiple, " times the mean, ", gateways, " gateways, ", perSecond, " a second, hot ", hotShare), func(t *testing.T) {
 						is := is.New(t)
-						c := newCrowd(gateways, multiple)
-						for range 10 * time.Second / crowdStep {
+						c := newConnectedFleet(gateways, multiple)
+						for range 10 * time.Second / fleetStep {
 							c.step(perSecond, hotShare)
 						}
-						t.Logf("%d of %d over the bound", c.overfull, c.sent)
-						is.True(float64(c.overfull) < 0.01*float64(c.sent)) // three in a hundred are allowed
+						t.Logf("%d of %d over the bound", c.overBound, c.sent)
+						is.True(float64(c.overBound) < 0.01*float64(c.sent)) // three in a hundred are allowed
 					})
 				}
 			}
@@ -165,17 +165,17 @@
 // In a large fleet each gateway hears a few of the others, and loads that back ends
 // tell make up for some of the rest. Nothing is refused, since there is room. docs/CAPACITY.md tells
 // how far larger fleets are from the bound.
-func TestLargeFleetsKeepTheBound(t *testing.T) {
+func TestRingFleetsKeepTheBound(t *testing.T) {
 	for _, size := range []struct{ gateways, members, perSecond int }{{1, 18, 240}, {14, 30, 300}, {30, 55, 530}} {
 		for _, hotShare := range []float64{0, 0.1} {
 			t.Run(fmt.Sprint(size, " hot ", hotShare), func(t *testing.T) {
 				is := is.New(t)
-				c := newLargeCrowd(size.gateways, size.members, allowedMultiple)
-				for range 3 * time.Second / crowdStep {
+				c := newRingFleet(size.gateways, size.members, allowedMultiple)
+				for range 3 * time.Second / fleetStep {
 					c.step(float64(size.perSecond), hotShare)
 				}
-				t.Logf("%d of %d over the bound", c.overfull, c.sent)
-				is.True(float64(c.overfull) <= 0.03*float64(c.sent)) // as many are allowed
+				t.Logf("%d of %d over the bound", c.overBound, c.sent)
+				is.True(float64(c.overBound) <= 0.03*float64(c.sent)) // as many are allowed
 				is.Equal(c.refused, 0)
 			})
 		}
@@ -183,11 +183,11 @@
 }
 
 // Members that are ejected by mistake don't raise the bound of the others.
-func TestEjectedMembersCountInTheMean(t *testing.T) {
+func TestEjectedMembersCountInTheBoundMean(t *testing.T) {
 	is := is.New(t)
 	const gateways, ejected = 4, 6
-	c := newCrowd(gateways, allowedMultiple)
-	for range 4 * time.Second / crowdStep {
+	c := newConnectedFleet(gateways, allowedMultiple)
+	for range 4 * time.Second / fleetStep {
 		for _, core := range c.cores {
 			for i := range ejected {
 				core.members[fmt.Sprintf("b%02d", i)].health.eject(c.now, time.Second)
@@ -195,6 +195,6 @@
 		}
 		c.step(400, 0.3)
 	}
-	t.Logf("%d of %d over the bound", c.overfull, c.sent)
-	is.True(float64(c.overfull) < 0.01*float64(c.sent))
+	t.Logf("%d of %d over the bound", c.overBound, c.sent)
+	is.True(float64(c.overBound) < 0.01*float64(c.sent))
 }
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -16,79 +16,79 @@
 	// runTimeWeight is the weight of the newest word in a run time: some words, since the
 	// few requests of one say little, and few of them, since a member that has become
 	// slow must get less within seconds.
-	runTimeWeight = 0.15
+	residenceWeight = 0.15
 	// paceWeight is the same for a gateway's own requests to a service, which are few.
-	paceWeight = 0.05
+	localResidenceWeight = 0.05
 	// fewestEnded is the mean number of requests a word below which a run time isn't
 	// known.
-	fewestEnded = 0.25
+	minEndedPerUpdate = 0.25
 	// longestRunTime bounds a run time, in seconds.
-	longestRunTime = 60.0
+	maxResidenceSeconds = 60.0
 )
 
 // runTime is how long a request stays at a member: what the requests of the last words
 // took together, in seconds, over their number.
-type runTime struct {
-	took  float64
+type residenceTime struct {
+	total float64
 	ended float64
 }
 
-func (r *runTime) note(took, ended, weight float64) {
-	r.took += weight * (took - r.took)
+func (r *residenceTime) note(total, ended, weight float64) {
+	r.total += weight * (total - r.total)
 	r.ended += weight * (ended - r.ended)
 }
 
 // seconds returns the time, or otherwise where too little is known.
-func (r runTime) seconds(otherwise float64) float64 {
-	if r.ended < fewestEnded || r.took <= 0 {
-		return otherwise
+func (r residenceTime) seconds(fallback float64) float64 {
+	if r.ended < minEndedPerUpdate || r.total <= 0 {
+		return fallback
 	}
-	return min(r.took/r.ended, longestRunTime)
+	return min(r.total/r.ended, maxResidenceSeconds)
 }
 
 // pace is how long this gateway's own requests stay at a service's members, by Little's
 // law: the time that those under way spend there, over the number of those sent.
-type pace struct {
-	runTime runTime
+type localResidence struct {
+	residence residenceTime
 	// sent counts the requests since the last note.
 	sent int
 }
 
 // note takes the requests under way, after so much time since the last note.
-func (p *pace) note(underWay int, since time.Duration) {
-	p.runTime.note(float64(underWay)*min(since, freshTotals).Seconds(), float64(p.sent), paceWeight)
-	p.sent = 0
+func (r *localResidence) note(inFlight int, elapsed time.Duration) {
+	r.residence.note(float64(inFlight)*min(elapsed, maxTotalsAge).Seconds(), float64(r.sent), localResidenceWeight)
+	r.sent = 0
 }
 
 // paceOf returns the pace of the service.
-func (c *Core) paceOf(service string) *pace {
-	known := c.paces[service]
+func (c *Core) localResidenceOf(service string) *localResidence {
+	known := c.localResidences[service]
 	if known == nil {
-		known = &pace{}
-		c.paces[service] = known
+		known = &localResidence{}
+		c.localResidences[service] = known
 	}
 	return known
 }
 
 // notePaces takes the requests under way at all services.
-func (c *Core) notePaces(since time.Duration) {
+func (c *Core) noteLocalResidences(elapsed time.Duration) {
 	for service, pool := range c.pools {
-		underWay := 0
+		inFlight := 0
 		for _, m := range pool.members {
-			underWay += m.own
+			inFlight += m.own
 		}
-		c.paceOf(service).note(underWay, since)
+		c.localResidenceOf(service).note(inFlight, elapsed)
 	}
 }
 
 // usualTime returns the time that a request stays at the members, in seconds.
-func (c *Core) usualTime(service string, members []*member) float64 {
-	all := runTime{}
+func (c *Core) meanResidence(service string, members []*member) float64 {
+	all := residenceTime{}
 	for _, m := range members {
-		all.took += m.runTime.took
-		all.ended += m.runTime.ended
+		all.total += m.residenceTime.total
+		all.ended += m.residenceTime.ended
 	}
-	return all.seconds(c.paceOf(service).runTime.seconds(longestRunTime))
+	return all.seconds(c.localResidenceOf(service).residence.seconds(maxResidenceSeconds))
 }
 
 // share is a member's part in a spread.
@@ -97,40 +97,40 @@
 	// slots is its size, and seconds the time that a request stays there.
 	slots float64
 	// left is what is left at the member of the load that was told.
-	left    float64
-	seconds float64
+	remaining        float64
+	residenceSeconds float64
 }
 
 // spread returns one of the members that have room by lot, or nil. The lot is a hash of
 // the request.
 func (c *Core) spread(now time.Time, x *Exchange, candidates []*member) *member {
-	usual := c.usualTime(x.service, candidates)
-	since := c.hearingTime().Seconds()
+	mean := c.meanResidence(x.service, candidates)
+	delay := c.propagationTime().Seconds()
 	c.shares = c.shares[:0]
-	begun := 1.0
+	requests := 1.0
 	for _, m := range candidates {
 		if !c.hasRoom(now, m, x) {
 			continue
 		}
 		load := c.estimate(now, m)
-		each := share{member: m, slots: float64(max(m.backEnd.Slots, 1)), seconds: m.runTime.seconds(usual)}
-		each.left = load * math.Exp(-since/each.seconds)
-		begun += load - each.left
+		each := share{member: m, slots: float64(max(m.backEnd.Slots, 1)), residenceSeconds: m.residenceTime.seconds(mean)}
+		each.remaining = load * math.Exp(-delay/each.residenceSeconds)
+		requests += load - each.remaining
 		c.shares = append(c.shares, each)
 	}
-	return drawShare(x, c.shares, levelOf(c.shares, begun))
+	return drawMember(x, c.shares, fillLevel(c.shares, requests))
 }
 
 // levelOf returns the load for each slot up to which so many requests fill the members.
-func levelOf(shares []share, requests float64) float64 {
+func fillLevel(shares []share, requests float64) float64 {
 	low, high := 0.0, 1.0
-	for filledTo(shares, high) < requests && high < 1e6 {
+	for requestsToLevel(shares, high) < requests && high < 1e6 {
 		high *= 2
 	}
 	const steps = 24
 	for range steps {
 		middle := (low + high) / 2
-		if filledTo(shares, middle) < requests {
+		if requestsToLevel(shares, middle) < requests {
 			low = middle
 		} else {
 			high = middle
@@ -139,24 +139,24 @@
 	return high
 }
 
-func filledTo(shares []share, level float64) float64 {
+func requestsToLevel(shares []share, level float64) float64 {
 	total := 0.0
 	for _, each := range shares {
-		total += max(0, level*each.slots-each.left)
+		total += max(0, level*each.slots-each.remaining)
 	}
 	return total
 }
 
 // drawShare draws a member. One that is filled with as many requests as another in half
 // the time gets them at twice the rate.
-func drawShare(x *Exchange, shares []share, level float64) *member {
-	rate := func(each share) float64 { return max(0, level*each.slots-each.left) / each.seconds }
+func drawMember(x *Exchange, shares []share, level float64) *member {
+	rate := func(each share) float64 { return max(0, level*each.slots-each.remaining) / each.residenceSeconds }
 	total := 0.0
 	for _, each := range shares {
 		total += rate(each)
 	}
-	const lots = 1 << 32
-	draw := float64(xxhash.Sum64String(x.request.ID)%lots) / lots * total
+	const scale = 1 << 32
+	draw := float64(xxhash.Sum64String(x.request.ID)%scale) / scale * total
 	for _, each := range shares {
 		if draw -= rate(each); draw < 0 {
 			return each.member
--- a/internal/dispatch/totals.go
+++ b/internal/dispatch/totals.go
@@ -19,11 +19,11 @@
 	// Requests counts those under way, and Wanted is the rate at which requests
 	// ask for it, in units of 1/wantedUnits a second.
 	Requests uint32
-	Wanted   uint32
+	Demand   uint32
 	// Ended counts the requests that ended since the last word, and TookMillis is the
 	// time there of those without prompts, in milliseconds.
-	Ended      uint32
-	TookMillis uint32
+	Ended           uint32
+	ResidenceMillis uint32
 }
 
 // SumKey is the key under which counts are added up.
@@ -32,18 +32,18 @@
 // Plus returns the sum of two counts of one back end.
 func (c Count) Plus(other Count) Count {
 	c.Requests += other.Requests
-	c.Wanted += other.Wanted
+	c.Demand += other.Demand
 	c.Ended += other.Ended
-	c.TookMillis += other.TookMillis
+	c.ResidenceMillis += other.ResidenceMillis
 	return c
 }
 
 // Minus takes off what Plus had added.
 func (c Count) Minus(other Count) Count {
 	c.Requests -= other.Requests
-	c.Wanted -= other.Wanted
+	c.Demand -= other.Demand
 	c.Ended -= other.Ended
-	c.TookMillis -= other.TookMillis
+	c.ResidenceMillis -= other.ResidenceMillis
 	return c
 }
 
@@ -52,7 +52,7 @@
 
 // wantedUnits is the resolution of Count.Wanted, in parts of one request a second: a
 // gateway among hundreds asks for a back end every few seconds.
-const wantedUnits = 16
+const demandUnits = 16
 
 // CountKeyBits is the length of a key. Two of 660 back ends share one with a chance of 1
 // in 77; both are then believed to have the load of both.
@@ -65,12 +65,12 @@
 // nothing and wants nothing. What ended is told once.
 func (c *Core) Counts(now time.Time) []Count {
 	var counts []Count
-	c.everyMember(func(m *member) {
+	c.forEachMember(func(m *member) {
 		count := Count{
-			Key: m.key, Requests: uint32(m.own), Wanted: uint32(m.demand.perSecond(now)*wantedUnits + 0.5),
-			Ended: uint32(m.ended), TookMillis: uint32(m.took.Milliseconds()),
+			Key: m.key, Requests: uint32(m.own), Demand: uint32(m.demand.perSecond(now)*demandUnits + 0.5),
+			Ended: uint32(m.ended), ResidenceMillis: uint32(m.residenceSum.Milliseconds()),
 		}
-		m.ended, m.took = 0, 0
+		m.ended, m.residenceSum = 0, 0
 		if !count.IsZero() {
 			counts = append(counts, count)
 		}
@@ -91,45 +91,45 @@
 }
 
 // othersCount is what all other gateways together have at a back end.
-type othersCount struct {
+type othersLoad struct {
 	requests float64
 	// wanted is in requests a second.
-	wanted float64
+	demand float64
 }
 
 // freshTotals is the age to which totals count: several of their periods.
-const freshTotals = 1500 * time.Millisecond
+const maxTotalsAge = 1500 * time.Millisecond
 
 // fewestCounted is the part of the fleet, as one in so many gateways, that totals must
 // count: sums over fewer say little of the others.
-const fewestCounted = 3
+const minCountedDivisor = 3
 
 // TakeTotals takes the counts of all gateways, in which those that this one told, told,
 // are counted in.
-func (c *Core) TakeTotals(now time.Time, told []Count, totals Totals) {
-	if totals.Counted < 1 || totals.Counted*fewestCounted < c.gateways {
+func (c *Core) ApplyTotals(now time.Time, reported []Count, totals Totals) {
+	if totals.Counted < 1 || totals.Counted*minCountedDivisor < c.gateways {
 		return
 	}
-	since := now.Sub(c.totalsAt)
-	if since <= freshTotals {
-		c.totalsInterval += time.Duration(intervalWeight * float64(since-c.totalsInterval))
+	elapsed := now.Sub(c.totalsAt)
+	if elapsed <= maxTotalsAge {
+		c.totalsInterval += time.Duration(intervalWeight * float64(elapsed-c.totalsInterval))
 	}
-	c.notePaces(since)
+	c.noteLocalResidences(elapsed)
 	c.totalsAt = now
 	// Gateways that weren't counted are taken to have as much as the others.
 	scale := 1.0
 	if totals.Counted > 1 && totals.Expected > totals.Counted {
 		scale = float64(totals.Expected-1) / float64(totals.Counted-1)
 	}
-	total, own := byKey[uint32](totals.Counts), byKey[uint32](told)
-	c.everyMember(func(m *member) {
+	total, own := byKey[uint32](totals.Counts), byKey[uint32](reported)
+	c.forEachMember(func(m *member) {
 		all, mine := total[m.key], own[m.key]
-		m.others = othersCount{
+		m.others = othersLoad{
 			requests: scale * max(0, float64(all.Requests)-float64(mine.Requests)),
-			wanted:   scale * max(0, float64(all.Wanted)-float64(mine.Wanted)) / wantedUnits,
+			demand:   scale * max(0, float64(all.Demand)-float64(mine.Demand)) / demandUnits,
 		}
-		m.runTime.note(float64(all.TookMillis)/1000, float64(all.Ended), runTimeWeight)
-		m.endedPerSecond += runTimeWeight * (scale*float64(all.Ended)/c.totalsInterval.Seconds() - m.endedPerSecond)
+		m.residenceTime.note(float64(all.ResidenceMillis)/1000, float64(all.Ended), residenceWeight)
+		m.endedPerSecond += residenceWeight * (scale*float64(all.Ended)/c.totalsInterval.Seconds() - m.endedPerSecond)
 	})
 }
 
@@ -143,10 +143,10 @@
 }
 
 // totalsAreFresh tells whether the last totals still say what the other gateways have.
-func (c *Core) totalsAreFresh(now time.Time) bool { return now.Sub(c.totalsAt) <= freshTotals }
+func (c *Core) totalsAreFresh(now time.Time) bool { return now.Sub(c.totalsAt) <= maxTotalsAge }
 
 // everyMember visits the listed and the lapsed members.
-func (c *Core) everyMember(visit func(m *member)) {
+func (c *Core) forEachMember(visit func(m *member)) {
 	for _, pool := range c.pools {
 		for _, m := range pool.members {
 			visit(m)
--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -22,21 +22,21 @@
 }
 
 // warmingFleet returns cores that know each other, in front of the back ends.
-func warmingFleet(gateways int, rate float64, list []catalog.BackEnd) []*Core {
+func newWarmUpFleet(gateways int, rate float64, list []catalog.BackEnd) []*Core {
 	cores := make([]*Core, gateways)
 	for i := range cores {
 		cores[i] = newCore(nil)
 		cores[i].config.WarmUpOverage, cores[i].config.WarmUpExtra = 1.5, 5
 		cores[i].SetServices([]catalog.Service{{Name: "s", WarmUpRate: rate, WarmUpTime: 3 * time.Second}})
 		cores[i].SetGateways(gateways)
-		cores[i].SetFleet(start.Add(-time.Minute), fleetOf(i, 0, gateways))
+		cores[i].SetFleet(start.Add(-time.Minute), knownFleet(i, 0, gateways))
 		cores[i].SetBackEnds(start, list)
 	}
 	return cores
 }
 
 // fleetOf is what the gateway with the number knows when it heard of those in the range.
-func fleetOf(self, from, to int) Fleet {
+func knownFleet(self, from, to int) Fleet {
 	fleet := Fleet{Self: fmt.Sprint("g", self), HasSeeds: to-from > 1}
 	for i := from; i < to; i++ {
 		if i != self {
@@ -48,14 +48,14 @@
 
 // flood sends as many requests as the gateways take for a while, and returns the most
 // that one back end that warms up got in one second, and the number of refusals.
-func flood(cores []*Core, perSecond int, lasting time.Duration) (most, sent, refused int) {
+func flood(cores []*Core, perSecond int, duration time.Duration) (peak, sent, refused int) {
 	times := map[string][]time.Time{}
-	requests := int(float64(perSecond) * lasting.Seconds())
+	requests := int(float64(perSecond) * duration.Seconds())
 	for i := range requests {
-		now := start.Add(lasting * time.Duration(i) / time.Duration(requests))
+		now := start.Add(duration * time.Duration(i) / time.Duration(requests))
 		core := cores[i*7919%len(cores)]
-		asked := request(repeatable(1), fmt.Sprint(i), Part{ID: fmt.Sprint("part", i%97), Tokens: 9000}, Part{ID: "own"})
-		x, decision := core.Begin(now, asked)
+		promptRequest := request(repeatable(1), fmt.Sprint(i), Part{ID: fmt.Sprint("part", i%97), Tokens: 9000}, Part{ID: "own"})
+		x, decision := core.Begin(now, promptRequest)
 		if decision.Send == nil {
 			refused++
 			continue
@@ -72,30 +72,30 @@
 			for j := i; j < len(each) && each[j].Sub(each[i]) < time.Second; j++ {
 				count++
 			}
-			most = max(most, count)
+			peak = max(peak, count)
 		}
 	}
-	return most, sent, refused
+	return peak, sent, refused
 }
 
 // A burst that the warm ones could serve: the others fill their caches meanwhile.
-func TestBackEndsThatWarmUpTakePart(t *testing.T) {
+func TestWarmingBackEndsServeRequests(t *testing.T) {
 	is := is.New(t)
-	most, sent, refused := flood(warmingFleet(23, 23, coldBackEnds(42, 11)), 900, 2900*time.Millisecond)
-	is.True(most <= 39)
+	peak, sent, refused := flood(newWarmUpFleet(23, 23, coldBackEnds(42, 11)), 900, 2900*time.Millisecond)
+	is.True(peak <= 39)
 	is.True(sent > 100)
 	is.Equal(refused, 0)
 }
 
 // All back ends are cold, and far more is asked of them than they bear.
-func TestFleetKeepsTheWarmUpLimit(t *testing.T) {
+func TestFleetStaysWithinWarmUpLimit(t *testing.T) {
 	for _, gateways := range []int{1, 2, 5, 23, 100, 340} {
 		for _, rate := range []float64{2, 6, 23} {
 			t.Run(fmt.Sprint(gateways, " gateways, ", rate, " a second"), func(t *testing.T) {
 				is := is.New(t)
 				limit := rate*1.5 + 5
-				most, sent, _ := flood(warmingFleet(gateways, rate, coldBackEnds(5, 5)), 1500, 2900*time.Millisecond)
-				is.True(float64(most) <= limit)
+				peak, sent, _ := flood(newWarmUpFleet(gateways, rate, coldBackEnds(5, 5)), 1500, 2900*time.Millisecond)
+				is.True(float64(peak) <= limit)
 				// At least a third of what the back ends bear is used.
 				is.True(float64(sent) >= 5*limit*2.9/3)
 			})
@@ -105,14 +105,14 @@
 
 // Gateways that heard of different others draw different ones; the part of the limit that
 // isn't given away bears it.
-func TestWarmUpLimitIsKeptWhereListsDiffer(t *testing.T) {
+func TestWarmUpLimitHoldsWhenFleetViewsDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gateways := rapid.IntRange(2, 40).Draw(t, "gateways")
 		rate := rapid.SampledFrom([]float64{2, 6, 23}).Draw(t, "rate")
-		cores := warmingFleet(gateways, rate, coldBackEnds(4, 4))
+		cores := newWarmUpFleet(gateways, rate, coldBackEnds(4, 4))
 		for i, core := range cores {
 			missing := rapid.IntRange(0, gateways-1).Draw(t, "missing")
-			fleet := fleetOf(i, 0, gateways)
+			fleet := knownFleet(i, 0, gateways)
 			kept := fleet.Known[:0]
 			for _, id := range fleet.Known {
 				if id != fmt.Sprint("g", missing) {
@@ -122,88 +122,88 @@
 			fleet.Known = kept
 			core.SetFleet(start.Add(-time.Minute), fleet)
 		}
-		if most, _, _ := flood(cores, 600, 1500*time.Millisecond); float64(most) > rate*1.5+5 {
-			t.Fatalf("%d requests in one second, %v are allowed", most, rate*1.5+5)
+		if peak, _, _ := flood(cores, 600, 1500*time.Millisecond); float64(peak) > rate*1.5+5 {
+			t.Fatalf("%d requests in one second, %v are allowed", peak, rate*1.5+5)
 		}
 	})
 }
 
 // A process that has just started knows few others: it must not take all for itself.
-func TestStartedGatewaySendsNothingToColdBackEndsUntilItKnowsTheFleet(t *testing.T) {
+func TestStartingGatewaySendsNothingToColdBackEndsUntilFleetSettles(t *testing.T) {
 	is := is.New(t)
-	core := warmingFleet(1, 23, coldBackEnds(2, 2))[0]
-	core.SetFleet(start, fleetOf(0, 0, 3)) // two more have been heard of
-	most, _, _ := flood([]*Core{core}, 500, fleetSettles-time.Millisecond)
-	is.Equal(most, 0)
-	most, _, _ = flood([]*Core{core}, 500, 2900*time.Millisecond)
-	is.True(most > 0)
+	core := newWarmUpFleet(1, 23, coldBackEnds(2, 2))[0]
+	core.SetFleet(start, knownFleet(0, 0, 3)) // two more have been heard of
+	peak, _, _ := flood([]*Core{core}, 500, fleetSettleTime-time.Millisecond)
+	is.Equal(peak, 0)
+	peak, _, _ = flood([]*Core{core}, 500, 2900*time.Millisecond)
+	is.True(peak > 0)
 }
 
 // One that has seeds and hears nobody is cut off rather than alone.
-func TestGatewayThatIsCutOffFromItsStartTakesLittle(t *testing.T) {
+func TestPartitionedGatewayUsesMinimalWarmUpShare(t *testing.T) {
 	is := is.New(t)
-	core := warmingFleet(1, 23, coldBackEnds(1, 1))[0]
+	core := newWarmUpFleet(1, 23, coldBackEnds(1, 1))[0]
 	core.SetFleet(start.Add(-time.Minute), Fleet{Self: "g0", HasSeeds: true})
-	most, _, _ := flood([]*Core{core}, 500, 2900*time.Millisecond)
-	is.Equal(most, 1)
+	peak, _, _ := flood([]*Core{core}, 500, 2900*time.Millisecond)
+	is.Equal(peak, 1)
 }
 
 // Where its settings name no other either, others may still find it.
-func TestGatewayThatJustStartedIsNotTakenForAlone(t *testing.T) {
+func TestStartingGatewayWithoutSeedsIsNotAssumedAlone(t *testing.T) {
 	is := is.New(t)
-	core := warmingFleet(1, 23, coldBackEnds(1, 1))[0]
-	core.SetFleet(start.Add(-time.Minute), fleetOf(0, 0, 2))
+	core := newWarmUpFleet(1, 23, coldBackEnds(1, 1))[0]
+	core.SetFleet(start.Add(-time.Minute), knownFleet(0, 0, 2))
 	core.SetFleet(start.Add(-time.Minute), Fleet{Self: "g0"}) // forgotten
 	other := newCore(nil)
 	other.config.WarmUpOverage, other.config.WarmUpExtra = 1.5, 5
 	other.SetServices([]catalog.Service{{Name: "s", WarmUpRate: 23, WarmUpTime: 3 * time.Second}})
-	other.SetFleet(start.Add(-fleetSettles), Fleet{Self: "g1"}) // just started
+	other.SetFleet(start.Add(-fleetSettleTime), Fleet{Self: "g1"}) // just started
 	other.SetBackEnds(start, coldBackEnds(1, 1))
-	most, _, _ := flood([]*Core{other}, 500, 2900*time.Millisecond)
-	is.Equal(most, 1)
-	most, _, _ = flood([]*Core{core}, 500, 2900*time.Millisecond)
-	is.Equal(most, 31)
+	peak, _, _ := flood([]*Core{other}, 500, 2900*time.Millisecond)
+	is.Equal(peak, 1)
+	peak, _, _ = flood([]*Core{core}, 500, 2900*time.Millisecond)
+	is.Equal(peak, 31)
 }
 
-func TestGatewayAloneUsesWhatItMay(t *testing.T) {
+func TestSoleGatewayUsesWholeWarmUpAllocation(t *testing.T) {
 	is := is.New(t)
-	core := warmingFleet(1, 23, coldBackEnds(1, 1))[0]
-	most, _, _ := flood([]*Core{core}, 500, 2900*time.Millisecond)
-	is.Equal(most, 31) // of 39.5
+	core := newWarmUpFleet(1, 23, coldBackEnds(1, 1))[0]
+	peak, _, _ := flood([]*Core{core}, 500, 2900*time.Millisecond)
+	is.Equal(peak, 31) // of 39.5
 }
 
-func TestBackEndThatTurnsColdAgainIsLimitedAtOnce(t *testing.T) {
+func TestBackEndTurningColdIsLimitedAtOnce(t *testing.T) {
 	is := is.New(t)
 	list := backEnds(1, 64)
-	core := warmingFleet(1, 2, list)[0]
-	most, _, _ := flood([]*Core{core}, 100, time.Second)
-	is.Equal(most, 0) // warm: nothing counts
+	core := newWarmUpFleet(1, 2, list)[0]
+	peak, _, _ := flood([]*Core{core}, 100, time.Second)
+	is.Equal(peak, 0) // warm: nothing counts
 	list[0].WarmUp = 2 * time.Second
 	core.SetBackEnds(start, list)
-	is.True(core.Beliefs(start)[0].WarmsUp)
+	is.True(core.BackEndStatuses(start)[0].WarmsUp)
 	list[0].WarmUp = 0
 	core.SetBackEnds(start.Add(time.Second), list)
-	is.True(!core.Beliefs(start.Add(time.Second))[0].WarmsUp)
+	is.True(!core.BackEndStatuses(start.Add(time.Second))[0].WarmsUp)
 }
 
-func TestWarmUpThatBeginsAnewCountsFromThen(t *testing.T) {
+func TestRestartedWarmUpExtendsTheLimit(t *testing.T) {
 	is := is.New(t)
 	list := coldBackEnds(1, 1)
 	list[0].WarmUpAt = catalog.Position{Revision: 4}
-	core := warmingFleet(1, 2, list)[0]
+	core := newWarmUpFleet(1, 2, list)[0]
 	later := start.Add(2 * time.Second)
 	core.SetBackEnds(later, list) // for another reason
-	is.True(!core.Beliefs(later.Add(2 * time.Second))[0].WarmsUp)
+	is.True(!core.BackEndStatuses(later.Add(2 * time.Second))[0].WarmsUp)
 	list[0].WarmUpAt = catalog.Position{Revision: 9}
 	core.SetBackEnds(later, list)
-	is.True(core.Beliefs(later.Add(2 * time.Second))[0].WarmsUp)
+	is.True(core.BackEndStatuses(later.Add(2 * time.Second))[0].WarmsUp)
 }
 
 // Without a rate in the configuration a cold back end is as able as a warm one.
-func TestServiceWithoutARateHasNoLimit(t *testing.T) {
+func TestServiceWithoutWarmUpRateIsNotLimited(t *testing.T) {
 	is := is.New(t)
 	core := newCore(coldBackEnds(1, 1))
-	most, _, refused := flood([]*Core{core}, 50, time.Second)
-	is.Equal(most, 50)
+	peak, _, refused := flood([]*Core{core}, 50, time.Second)
+	is.Equal(peak, 50)
 	is.Equal(refused, 0)
 }
--- a/internal/dispatch/withhold.go
+++ b/internal/dispatch/withhold.go
@@ -36,12 +36,12 @@
 }
 
 // incarnationOf returns what stands for this life of the back end among gateways.
-func incarnationOf(backEnd catalog.BackEnd) incarnationKey {
+func incarnationKeyOf(backEnd catalog.BackEnd) incarnationKey {
 	return incarnationKey(xxhash.Sum64String(backEnd.ID + "@" + strconv.FormatInt(backEnd.Born, 10)))
 }
 
 // contents returns the fingerprints of the request.
-func (x *Exchange) contents() []Fingerprint {
+func (x *Exchange) contentFingerprints() []Fingerprint {
 	if x.fingerprints == nil && x.request.Fingerprints != nil {
 		x.fingerprints = x.request.Fingerprints()
 	}
@@ -49,60 +49,60 @@
 }
 
 // noteBreak notes that the request broke off at the member.
-func (c *Core) noteBreak(now time.Time, x *Exchange, m *member) {
+func (c *Core) noteConnectionLost(now time.Time, x *Exchange, m *member) {
 	if m.backEnd.Leaving || c.config.Disabled[Withholding] {
 		return
 	}
-	for _, fingerprint := range x.contents() {
-		c.crashes.broke(now, fingerprint, incarnationOf(m.backEnd))
+	for _, fingerprint := range x.contentFingerprints() {
+		c.crashes.connectionLost(now, fingerprint, incarnationKeyOf(m.backEnd))
 	}
 }
 
 // noteLife notes that the member answered the current attempt.
-func (c *Core) noteLife(now time.Time, x *Exchange, m *member) {
-	if len(c.crashes.brokeAt) > 0 && c.crashes.answered(now, incarnationOf(m.backEnd), x.sentAt) {
-		c.presumeStart(m)
+func (c *Core) noteAnswered(now time.Time, x *Exchange, m *member) {
+	if len(c.crashes.lostAt) > 0 && c.crashes.answered(now, incarnationKeyOf(m.backEnd), x.sentAt) {
+		c.presumeRestart(m)
 	}
-	c.noteReturn(now, m)
+	c.noteRestarted(now, m)
 }
 
 // noteEnd notes that the member's incarnation isn't there any more.
-func (c *Core) noteEnd(m *member) {
-	if len(c.crashes.brokeAt) > 0 && c.crashes.confirm(incarnationOf(m.backEnd)) {
-		c.presumeStart(m)
+func (c *Core) noteGone(m *member) {
+	if len(c.crashes.lostAt) > 0 && c.crashes.confirmGone(incarnationKeyOf(m.backEnd)) {
+		c.presumeRestart(m)
 	}
 }
 
 // withholds tells whether the request is of a content that crashes back ends.
 func (c *Core) withholds(now time.Time, x *Exchange) bool {
-	c.crashes.settle(now)
+	c.crashes.publishDue(now)
 	if c.crashes.withheld.Len() == 0 || c.config.Disabled[Withholding] {
 		return false
 	}
-	return slices.ContainsFunc(x.contents(), func(each Fingerprint) bool { return c.crashes.withholds(now, each) })
+	return slices.ContainsFunc(x.contentFingerprints(), func(each Fingerprint) bool { return c.crashes.withholds(now, each) })
 }
 
 // Completed notes that the caller has a back end's whole answer.
 func (c *Core) Completed(x *Exchange) {
-	x.whole = true
-	c.acquit(x)
+	x.completed = true
+	c.clearContents(x)
 }
 
 // acquit notes that a back end answered the request whole, so that it doesn't crash what runs
 // it.
-func (c *Core) acquit(x *Exchange) {
+func (c *Core) clearContents(x *Exchange) {
 	if c.crashes.isEmpty() {
 		return
 	}
-	for _, fingerprint := range x.contents() {
-		c.crashes.acquit(fingerprint)
+	for _, fingerprint := range x.contentFingerprints() {
+		c.crashes.clearContent(fingerprint)
 	}
 }
 
 // ReleaseWithheld acquits a content at an operator's word, and tells whether it was withheld.
 func (c *Core) ReleaseWithheld(fingerprint Fingerprint) bool {
 	isWithheld := c.crashes.withheld.Contains(fingerprint)
-	c.crashes.acquit(fingerprint)
+	c.crashes.clearContent(fingerprint)
 	return isWithheld
 }
 
@@ -111,13 +111,13 @@
 
 // CrashesSince returns at most so many records that peers may lack after the number, and the
 // number to go on from. The first number is 0.
-func (c *Core) CrashesSince(now time.Time, number uint64, most int) ([]CrashRecord, uint64) {
-	c.crashes.settle(now)
-	return c.crashes.since(number, most)
+func (c *Core) CrashesSince(now time.Time, cursor uint64, limit int) ([]CrashRecord, uint64) {
+	c.crashes.publishDue(now)
+	return c.crashes.changedSince(cursor, limit)
 }
 
 // TakeCrashes takes what a peer, or the platform's store, tells of crashes.
-func (c *Core) TakeCrashes(now time.Time, list []CrashRecord) {
+func (c *Core) MergeCrashes(now time.Time, list []CrashRecord) {
 	if c.config.Disabled[Withholding] {
 		return
 	}
@@ -129,8 +129,8 @@
 // TakeWithheldChanges returns the contents that became withheld, or are no longer, since the
 // last call.
 func (c *Core) TakeWithheldChanges() []WithheldChange {
-	changed := c.crashes.changed
-	c.crashes.changed = nil
+	changed := c.crashes.withheldChanges
+	c.crashes.withheldChanges = nil
 	return changed
 }
 
@@ -139,7 +139,7 @@
 	var records []CrashRecord
 	for _, fingerprint := range c.Withheld() {
 		if record, known := c.crashes.withheld.Peek(fingerprint); known {
-			records = append(records, record.whole())
+			records = append(records, record.export())
 		}
 	}
 	return records
@@ -151,6 +151,6 @@
 }
 
 // IsOutdated tells whether requests of the content are no longer withheld for these crashes.
-func (r CrashRecord) IsOutdated(now time.Time) bool {
-	return now.Sub(time.Unix(r.LastAt, 0)) > withheldTime
+func (r CrashRecord) IsExpired(now time.Time) bool {
+	return now.Sub(time.Unix(r.LastAt, 0)) > withholdTime
 }
--- a/internal/follower/withheld.go
+++ b/internal/follower/withheld.go
@@ -59,7 +59,7 @@
 	}
 	var current []dispatch.CrashRecord
 	for _, record := range records {
-		if !record.IsOutdated(f.config.State.Clock().Now()) {
+		if !record.IsExpired(f.config.State.Clock().Now()) {
 			current = append(current, record)
 			continue
 		}
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -207,7 +207,7 @@
 		return outcome{}, false
 	}
 	decision := h.decideSend(c, func(now time.Time, core *dispatch.Core) dispatch.Decision {
-		return core.Cut(now, c.exchange)
+		return core.Truncated(now, c.exchange)
 	})
 	h.logFailure(c, attemptFailure{send: broken.send, cause: cause.Error(), events: s.events}, decision)
 	for decision.Send != nil {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -37,8 +37,8 @@
 	h.logSend(c, send, resumeAfter)
 	ctx, cancel := context.WithCancel(ctx)
 	var expired atomic.Bool
-	if send.Patience > 0 {
-		watch := &pauseWatch{limit: send.Patience, lag: h.config.State.Lag, cancel: func() { expired.Store(true); cancel() }}
+	if send.HeadTimeout > 0 {
+		watch := &pauseWatch{limit: send.HeadTimeout, lag: h.config.State.Lag, cancel: func() { expired.Store(true); cancel() }}
 		watch.start()
 		defer watch.stop()
 	}
@@ -94,7 +94,7 @@
 
 // engineRank is the urgency that back ends are told.
 func (h *Handler) engineRank(c *call) int {
-	if h.config.Disabled[dispatch.EngineRank] {
+	if h.config.Disabled[dispatch.EnginePriority] {
 		return middleRank
 	}
 	return c.urgency
@@ -115,9 +115,9 @@
 		case notSent:
 			return core.NotConnected(now, c.exchange)
 		case expired || passed:
-			return core.Expired(now, c.exchange)
+			return core.TimedOut(now, c.exchange)
 		default:
-			return core.Broken(now, c.exchange)
+			return core.ConnectionLost(now, c.exchange)
 		}
 	})
 	h.logFailure(c, attemptFailure{send: send, cause: cause.Error(), notSent: notSent, expired: expired, late: passed}, next)
@@ -129,7 +129,7 @@
 	facts := h.config.Dialect.ReadAnswer(response.StatusCode, response.Header)
 	foreign := facts.ID != c.facts.ID && (facts.ID != "" || !facts.NotRun)
 	unsigned := !facts.Signed || promisesNotRun(response.StatusCode)
-	if h.config.Disabled[dispatch.OwnAnswers] {
+	if h.config.Disabled[dispatch.VerifyAnswers] {
 		foreign, unsigned = false, false
 	}
 	if !foreign && !facts.Elsewhere {
@@ -150,7 +150,7 @@
 	result := outcome{answer: response, facts: facts}
 	if !c.route.Stream || response.StatusCode >= http.StatusMultipleChoices {
 		h.config.State.decide(func(now time.Time, core *dispatch.Core) dispatch.Decision {
-			core.Worked(now, c.exchange)
+			core.ReleaseSlot(now, c.exchange)
 			return dispatch.Decision{}
 		})
 		body, err := h.readWhole(c, response)
@@ -193,7 +193,7 @@
 }
 
 func (h *Handler) unusable(c *call, send dispatch.Send, response *http.Response, why string) outcome {
-	return h.decided(c, send, response, why, (*dispatch.Core).Unusable)
+	return h.decided(c, send, response, why, (*dispatch.Core).InvalidAnswer)
 }
 
 func (h *Handler) decided(c *call, send dispatch.Send, response *http.Response, why string, step func(*dispatch.Core, time.Time, *dispatch.Exchange) dispatch.Decision) outcome {
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -136,7 +136,7 @@
 	if c.facts.ID == "" {
 		return failure.New(failure.InvalidRequest, "the request's ID is missing; send one that is unique")
 	}
-	if !h.config.Disabled[dispatch.LateRefusal] && !h.config.State.HasTime(c.urgency, c.facts.ID) {
+	if !h.config.Disabled[dispatch.LoadShedding] && !h.config.State.HasTime(c.urgency, c.facts.ID) {
 		return failure.New(failure.Overloaded, "this gateway has too little time for one more request; ask another")
 	}
 	c.deadline = c.began.Add(earliest(c.facts.Timeout, c.route.Timeout))
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -117,7 +117,7 @@
 	if notice.Leaving {
 		m.forCall(c).Tagged(map[string]string{"notice": "leaving"}).Counter("back_end_notices").Inc(1)
 	}
-	if notice.Rest > 0 {
+	if notice.RetryAfter > 0 {
 		m.forCall(c).Tagged(map[string]string{"notice": "rest"}).Counter("back_end_notices").Inc(1)
 	}
 }
--- a/internal/gateway/news.go
+++ b/internal/gateway/news.go
@@ -176,14 +176,14 @@
 func (s *State) TakeTotals(told []dispatch.Count, totals dispatch.Totals) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.core.TakeTotals(s.clock.Now(), told, totals)
+	s.core.ApplyTotals(s.clock.Now(), told, totals)
 }
 
 // PeerLoads takes a peer's loads.
 func (s *State) PeerLoads(peer string, loads []dispatch.Load) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.core.PeerLoads(s.clock.Now(), peer, loads)
+	s.core.SetPeerLoads(s.clock.Now(), peer, loads)
 }
 
 // TakeCrashes takes what a peer, or the store, tells of crashes under requests.
@@ -193,7 +193,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.core.TakeCrashes(s.clock.Now(), records)
+	s.core.MergeCrashes(s.clock.Now(), records)
 	s.tellCrashes()
 }
 
@@ -204,7 +204,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.core.TakeDisplaced(lives) {
+	if s.core.MergeDisplaced(lives) {
 		s.announce()
 	}
 }
@@ -216,7 +216,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	news, isNews := s.core.TakeLeaving(s.clock.Now(), lives)
+	news, isNews := s.core.MergeLeaving(s.clock.Now(), lives)
 	for _, id := range news {
 		s.log.Urgent(eventlog.BackEndNotice, logrus.Fields{"back_end": id, "leaving": true, "source": SourcePeer})
 	}
@@ -227,7 +227,7 @@
 
 // tellWords wakes who tells peers of lives of back ends that have ended or are leaving.
 func (s *State) tellWords() {
-	if now := s.core.Words(); now != s.words {
+	if now := s.core.IncarnationUpdates(); now != s.words {
 		s.words = now
 		s.announce()
 	}
@@ -237,5 +237,5 @@
 func (s *State) PeerHoldings(holdings []dispatch.Holdings) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.core.PeerHoldings(s.clock.Now(), holdings)
+	s.core.MergePeerHoldings(s.clock.Now(), holdings)
 }
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -16,11 +16,11 @@
 	}
 	notice, isNews := dispatch.Notice{Leaving: facts.Leaving}, false
 	if facts.NotRun || promisesNotRun(status) {
-		notice.Rest = facts.Rest
+		notice.RetryAfter = facts.Rest
 	}
 	h.config.Metrics.noticed(c, notice)
 	h.config.State.decide(func(now time.Time, core *dispatch.Core) dispatch.Decision {
-		isNews = core.Heed(now, c.exchange, notice)
+		isNews = core.ApplyNotice(now, c.exchange, notice)
 		return dispatch.Decision{}
 	})
 	if !isNews {
@@ -28,6 +28,6 @@
 	}
 	h.config.Log.Urgent(eventlog.BackEndNotice, logrus.Fields{
 		"back_end": send.BackEnd.ID, "service": send.BackEnd.Service, "address": send.BackEnd.Address, "source": SourceOwn,
-		"request": c.facts.ID, "status": status, "leaving": facts.Leaving, "rest_ms": notice.Rest.Milliseconds(),
+		"request": c.facts.ID, "status": status, "leaving": facts.Leaving, "rest_ms": notice.RetryAfter.Milliseconds(),
 	})
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -70,7 +70,7 @@
 	for _, each := range s.core.TakeRolloutChanges() {
 		fields := logrus.Fields{"service": each.Order.Service, "target": each.Order.Target}
 		event := eventlog.RolloutBegan
-		switch each.Kind {
+		switch each.Step {
 		case dispatch.RolloutBegan:
 			fields["duration"] = each.Order.Duration.String()
 		case dispatch.RolloutAbandoned:
@@ -118,12 +118,12 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.clock.Now()
-	abandoned := s.core.LookAtRollouts(now)
+	abandoned := s.core.EvaluateRollouts(now)
 	s.logRollouts()
 	if abandoned {
 		s.announce()
 	}
-	due := s.core.RolloutsDue(now)
+	due := s.core.DueRolloutStates(now)
 	var unwritten []catalog.Rollout
 	for _, record := range s.view.Rollouts() {
 		each, known := due[record.Service]
@@ -150,14 +150,14 @@
 func (s *State) TakeTallies(told []rollout.Tally, totals dispatch.Totals) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.core.TakeTallies(s.clock.Now(), told, totals)
+	s.core.SetTallyTotals(s.clock.Now(), told, totals)
 }
 
 // PeerTallies takes a peer's tallies in a small fleet.
 func (s *State) PeerTallies(peer string, tallies []rollout.Tally) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.core.PeerTallies(s.clock.Now(), peer, tallies)
+	s.core.SetPeerTallies(s.clock.Now(), peer, tallies)
 }
 
 // HearMarks takes what a peer tells of services that are being moved.
@@ -167,7 +167,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.core.HearMarks(s.clock.Now(), marks) {
+	if s.core.MergeMarks(s.clock.Now(), marks) {
 		s.logRollouts()
 		s.announce()
 	}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -328,7 +328,7 @@
 func (s *State) HasTime(urgency int, id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return dispatch.HasTime(s.lasting, urgency, id)
+	return dispatch.ShouldAdmit(s.lasting, urgency, id)
 }
 
 // Lag returns the worst delay that SetLag noted.
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -6,14 +6,14 @@
 	defer s.mutex.Unlock()
 	now := s.clock.Now()
 	gauges := Gauges{
-		Version: s.view.Version(), StoreAge: s.storeAge(now), PeerAge: s.core.OldestPeer(now),
+		Version: s.view.Version(), StoreAge: s.storeAge(now), PeerAge: s.core.PeerLoadAge(now),
 		Lag: s.lag, Gateways: s.place.Gateways, Evacuated: len(s.view.EvacuatedZones()), LinesLeftOut: s.log.LeftOut(),
 		Era: s.view.Era(),
 	}
 	for _, each := range s.core.Rollouts(now) {
 		gauges.Rollouts = append(gauges.Rollouts, RolloutGauges{Service: each.Order.Service, State: each.State, Sent: each.Sent, Exposed: each.Exposed})
 	}
-	for _, service := range s.core.Services(now) {
+	for _, service := range s.core.ServiceStatuses(now) {
 		gauges.Services = append(gauges.Services, ServiceGauges(service))
 	}
 	return gauges
@@ -91,7 +91,7 @@
 	now := s.clock.Now()
 	status := Status{
 		Role: RoleName, Gateways: s.place.Gateways, Reader: s.place.Duty == Reads,
-		StoreAgeSeconds: s.storeAge(now).Seconds(), LoadAgeSeconds: s.core.OldestPeer(now).Seconds(),
+		StoreAgeSeconds: s.storeAge(now).Seconds(), LoadAgeSeconds: s.core.PeerLoadAge(now).Seconds(),
 		Ready: ready, Draining: s.draining, Version: s.view.Version(), Evacuated: s.view.EvacuatedZones(),
 		Services: []ServiceStatus{}, BackEnds: []BackEndStatus{},
 	}
@@ -100,13 +100,13 @@
 	for _, each := range s.core.Withheld() {
 		status.Withheld = append(status.Withheld, each.String())
 	}
-	for _, service := range s.core.Services(now) {
+	for _, service := range s.core.ServiceStatuses(now) {
 		status.Services = append(status.Services, ServiceStatus{
 			Name: service.Name, RetryBudget: service.RetryBudget, BackEnds: service.BackEnds,
 			Unusable: service.Unusable, UnderWay: service.UnderWay,
 		})
 	}
-	for _, belief := range s.core.Beliefs(now) {
+	for _, belief := range s.core.BackEndStatuses(now) {
 		status.BackEnds = append(status.BackEnds, BackEndStatus{
 			ID: belief.BackEnd.ID, Service: belief.BackEnd.Service, Address: belief.BackEnd.Address,
 			Zone: belief.BackEnd.Zone, Leaving: belief.BackEnd.Leaving, Version: belief.BackEnd.Version, Health: belief.Health.String(),
