--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -5,8 +5,7 @@
 	"testing"
 )
 
-// BenchmarkBegin decides on one request after another in a pool of so many members,
-// with the fleet's loads at hand.
+// BenchmarkBegin measures one decision in pools of several sizes, with the fleet's totals known.
 func BenchmarkBegin(b *testing.B) {
 	for _, members := range []int{6, 180, 660} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
--- a/internal/dispatch/bound.go
+++ b/internal/dispatch/bound.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// aimedShare and leastShare are the parts of what the operators' bound allows
-	// above the mean: aimedShare is used as a rule, and leastShare whatever the
-	// slack, so that a pool has room. The rest covers news that is late.
+	// targetShare and minShare are fractions of the load above the mean that the operators'
+	// bound allows. targetShare is normally used, and minShare is used regardless of the slack,
+	// so that a pool always has room. The rest is a reserve for outdated load information.
 	targetShare = 0.95
 	minShare    = 0.2
-	// sparedRequests is the part of the operators' slack, in requests, that is kept
-	// for news that is late.
+	// reservedSlack is the part of the operators' slack, in requests, that is reserved for
+	// outdated load information.
 	reservedSlack = 0.5
-	// lotShare is the part of the room that is given away by lot: lots fall unevenly.
+	// lotteryShare is the fraction of the room that the admission lottery gives away. The rest
+	// absorbs the variance of the lottery.
 	lotteryShare = 0.7
 )
 
-// bound is the load that a member may have with the new request. The mean is over
-// all members that aren't leaving, ejected ones included: their share may not be
-// heaped on the others. A pool that is nearly idle may give a member a few requests
-// whatever the mean.
+// bound returns the load that a member may have including the new request. The mean is taken
+// over all members that aren't leaving. Ejected members are included, because otherwise their
+// share of the load would be piled onto the others. In a nearly idle pool a member may get a
+// few requests regardless of the mean.
 func (c *Core) bound(now time.Time, x *Exchange) float64 {
 	total, count := 1.0, 0.0
 	for _, m := range c.poolMembers(now, x.service) {
@@ -38,12 +39,12 @@
 	return max(target, (1+minShare*above)*mean+1)
 }
 
-// chanceOfRoom returns the chance with which a request may take a place that the bound
-// leaves at the member. The other gateways see the same places, and each decides alone:
-// where there are fewer places than gateways that may want one before they hear of each
-// other, each takes its share of them by lot. overflow is how many requests of other
-// gateways come on from members that are preferred; the ones that go on from this one
-// are returned.
+// admissionChance returns the probability with which a request may take one of the places
+// that the bound leaves at the member. The other gateways see the same free places, and each
+// gateway decides without asking the others. If there are fewer places than gateways that may
+// want one before they learn of each other's requests, each gateway takes its share of the
+// places by lottery. overflow is the number of other gateways' requests that are passed on
+// from members preferred to this one, and passedOn the number passed on from this member.
 func (c *Core) admissionChance(now time.Time, m *member, bound, overflow float64) (chance, passedOn float64) {
 	if c.config.Disabled[LoadBound] {
 		return 1, 0
@@ -64,14 +65,15 @@
 	return chance, competing * (1 - acceptedShare*min(1, chance))
 }
 
-// drawsLot tells whether the request wins a lot with the chance: a hash of the request.
+// winsLottery reports whether the request wins a lottery with the given chance. The draw is a
+// hash of the request and the member.
 func winsLottery(x *Exchange, m *member, chance float64) bool {
 	const scale = 1 << 16
 	return float64(xxhash.Sum64String(x.request.ID+m.backEnd.ID)%scale) < scale*chance
 }
 
-// wanted returns how many places at the member this gateway is likely to want before the
-// others hear of it, and how many all of them are.
+// expectedDemand returns how many places at the member this gateway probably needs before the
+// other gateways learn of it, and how many all other gateways need in that time.
 func (c *Core) expectedDemand(now time.Time, m *member) (own, others float64) {
 	if c.totalsAreFresh(now) {
 		interval := c.propagationTime().Seconds()
@@ -81,37 +83,37 @@
 	return own, float64(c.gateways-1) * min(1, own)
 }
 
-// hearingTime is how long it takes until all gateways count a request.
+// propagationTime is the time until all gateways count a request.
 func (c *Core) propagationTime() time.Duration { return propagationIntervals * c.totalsInterval }
 
-// endingShare is the part of the requests that end meanwhile which counts as room for
-// others. Lower values spread a part with short runs over many times the back ends that
-// it needs, and send away the parts at home there; 1 would leave nothing for counts that
-// come late.
+// reusableShare is the fraction of the requests ending within propagationTime that counts as
+// room for new ones. Lower values spread a part with short requests over many times the back
+// ends that it needs, which displaces the parts placed there; 1 would leave no reserve for
+// counts that arrive late.
 const reusableShare = 0.9
 
-// stayingShare is the part of the requests that could take a place which is counted on to
-// take it, and not to go on to the next member. With 1, a part that is suddenly wanted
-// by hundreds of gateways takes its next members over the bound; with 0, it is read at
-// twice as many.
+// acceptedShare is the fraction of the requests admitted to a place that is assumed to take
+// it, rather than to go on to the next member. With 1, a part that hundreds of gateways
+// suddenly request pushes its next members over the bound; with 0, twice as many members
+// prefill it.
 const acceptedShare = 0.5
 
-// totalsDelays is the time, in intervals between two totals, from a request until all
-// others count it.
+// propagationIntervals is the time from a request until all other gateways count it, in
+// intervals between two totals.
 const propagationIntervals = 2
 
-// demandMemory is the time over which demand is averaged: several intervals of
-// news, and short against a change of traffic.
+// demandTimeConstant is the time constant of the demand average: several update intervals,
+// and short compared with changes in traffic.
 const demandTimeConstant = time.Second
 
-// demand is the rate at which this gateway would send to a member, as an
-// exponentially weighted mean.
+// demand is the rate at which this gateway would send to a member, as an exponentially
+// weighted average.
 type demand struct {
-	rate float64 // requests a second at the time at
+	rate float64 // requests per second at the time at
 	at   time.Time
 }
 
-// note takes a request for which the member came into question.
+// note counts a request for which the member was considered.
 func (d *demand) note(now time.Time) {
 	d.rate = d.perSecond(now) + 1/demandTimeConstant.Seconds()
 	d.at = now
--- a/internal/dispatch/copying.go
+++ b/internal/dispatch/copying.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// A back end can copy what it lacks of a prompt from another one, for about a tenth of what
-// reading it anew costs the callers beside. Each send names one back end to copy from, a
-// guess that costs nothing where it is wrong: the target copies only what it lacks and the
-// source keeps.
+// A back end can copy the parts of a prompt that it lacks from another back end's cache. This
+// costs the requests running beside it about a tenth of what prefilling the parts again does.
+// Each send names one back end to copy from. A wrong guess costs nothing: the target copies
+// only what it lacks and the source still holds.
 
 const (
-	// newcomerLead is how much longer than the target the source must have been known for
-	// the target to count as one that took its place.
+	// newcomerAgeGap is how much longer than the target the source must have been known for
+	// the target to count as a newcomer that replaced it in the ranking.
 	newcomerAgeGap = 10 * time.Second
-	// holdersSettle is how long after its start a gateway doesn't know who holds what, or
-	// which members are newcomers: its peers tell within seconds, or have restarted as well.
+	// holderLearningTime is how long after its start a gateway doesn't know reliably which back
+	// ends hold a part, or which members are newcomers. Peers report holdings within seconds,
+	// unless they have restarted as well.
 	holderLearningTime = 10 * time.Second
 )
 
-// fetchSource returns the address of a back end from which the chosen one can copy the
-// prompt's shared parts instead of reading them, or "": the last one known to have read all
-// of them, else the likeliest.
+// copySource returns the address of a back end from which the chosen one can copy the shared
+// parts of the prompt instead of prefilling them, or "". It is the last back end known to
+// have prefilled all of them, else the most likely one.
 func (c *Core) copySource(now time.Time, x *Exchange, chosen *member) string {
 	part := x.request.affinity()
 	if part == "" || c.config.Disabled[Copying] {
@@ -39,20 +40,21 @@
 	return first.backEnd.Address
 }
 
-// knowsPlaceOf tells whether the target, which is the first in order, has been so for long,
-// as far as this gateway can tell: then the next in order read nothing in its place.
+// hasLongRankedFirst reports whether the target, which now ranks first, has done so for long,
+// as far as this gateway knows. If it has, the next member in the ranking hasn't prefilled
+// the part in the target's place.
 func (c *Core) hasLongRankedFirst(now time.Time, target, next *member) bool {
 	isNewcomer := target.firstSeen.Sub(next.firstSeen) >= newcomerAgeGap
 	return !isNewcomer && now.Sub(c.listedAt) >= holderLearningTime
 }
 
-// mayCopyFrom tells whether a back end can be a source for the target.
+// canCopyFrom reports whether the member can be a copy source for the target.
 func canCopyFrom(now time.Time, m, target *member) bool {
 	return m != nil && m != target && m.health.reachable(now)
 }
 
-// usableHolder returns the back end that was last known to have read the part and that the
-// target can copy from, or nil.
+// usableHolder returns the back end that was last known to have prefilled the part and from
+// which the target can copy, or nil.
 func (c *Core) usableHolder(now time.Time, part partKey, target *member) *member {
 	for _, holder := range c.holders.holdersOf(now, part) {
 		m := c.presentMember(now, holder.ID)
@@ -63,9 +65,9 @@
 	return nil
 }
 
-// firstInOrder returns the first in rendezvous order of all members that the target can copy
-// from, leaving ones included, and whether it comes before the target. After all gateways
-// have restarted, or where the target has joined, it is the one that read the part.
+// firstRanked returns the first member in rendezvous order from which the target can copy,
+// leaving members included, and whether it ranks before the target. After a restart of all
+// gateways, or after the target has joined, that member is the one that prefilled the part.
 func (c *Core) firstRanked(now time.Time, x *Exchange, target *member) (first *member, isBefore bool) {
 	isBefore = true
 	c.order.ranking.rank(x.request.affinity(), c.poolMembers(now, x.service), func(*member) bool { return false })
@@ -80,10 +82,10 @@
 	return nil, false
 }
 
-// prefixHolder returns a back end that holds the longest beginning of the prompt that any is
-// known to hold, or nil. While caches fill, each back end meets the same few beginnings with
-// ever new continuations; read at each of them, they were 170,000 of the 280,000 shared
-// tokens that 42 engines read again on a quiet day.
+// prefixHolder returns a back end that holds the longest prefix of the prompt that any back
+// end is known to hold, or nil. While caches fill, each back end gets the same few prefixes
+// with ever new continuations. When each back end prefilled them itself, they made up 170,000
+// of the 280,000 shared tokens that 42 engines prefilled more than once on a quiet day.
 func (c *Core) prefixHolder(now time.Time, x *Exchange, target *member) *member {
 	if c.config.Disabled[PrefixCopies] {
 		return nil
@@ -97,8 +99,8 @@
 	return nil
 }
 
-// notePrefixes takes a back end as a holder of the prompt's beginnings where no other is
-// known. One is enough: soon nearly all hold them.
+// notePrefixes records the back end as holder of those prefixes of the prompt that have no
+// known holder. One holder is enough, since nearly all back ends hold them before long.
 func (c *Core) notePrefixes(now time.Time, x *Exchange, m *member) {
 	if c.config.Disabled[PrefixCopies] {
 		return
--- a/internal/dispatch/copying_test.go
+++ b/internal/dispatch/copying_test.go
@@ -8,12 +8,12 @@
 	"github.com/matryer/is"
 )
 
-// continued returns a request whose prompt begins with a part that many share.
+// promptWithPrefix returns a request whose prompt begins with a prefix that many prompts share.
 func promptWithPrefix(id, prefix, part string) Request {
 	return request(repeatable(1), id, Part{ID: prefix, Tokens: 300}, Part{ID: part, Tokens: 9000}, Part{ID: "own" + id, Tokens: 100})
 }
 
-// send plays a request to its end and returns the attempt.
+// send runs a request to completion and returns its first attempt.
 func send(now time.Time, core *Core, request Request) *Send {
 	x, decision := core.Begin(now, request)
 	core.Answered(now, x, -1)
@@ -24,15 +24,15 @@
 // addressOf returns the address of a member.
 func addressOf(core *Core, id string) string { return core.members[id].backEnd.Address }
 
-// longLived returns a core that has known its back ends for long. Deadlines of requests are
-// counted from the beginning, so it is that which lies further back.
+// newSettledCore returns a core that has known its back ends for an hour. Requests' deadlines are
+// relative to start, so the first list is dated back instead of advancing the time.
 func newSettledCore(count int) *Core {
 	core := newCore(backEnds(count, 64))
 	core.listedAt = start.Add(-time.Hour)
 	return core
 }
 
-// While caches fill, each back end meets the same beginnings with ever new continuations.
+// While caches fill, each back end gets the same prefixes with ever new continuations.
 func TestPrefixIsCopiedWhenNoBackEndHoldsTheRest(t *testing.T) {
 	is := is.New(t)
 	core := newSettledCore(9)
@@ -49,8 +49,8 @@
 	is.True(elsewhere > 15)
 }
 
-// A gateway that has just started can't tell that nobody holds a prompt: the next in order
-// may have read all of it, which is more than a beginning.
+// A gateway that has just started can't know that no back end holds a prompt. The next member in
+// rendezvous order may have prefilled all of it, which is more than the prefix.
 func TestRestartedGatewayCopiesFromNextRankedBackEnd(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(9, 64))
@@ -61,7 +61,7 @@
 	}
 }
 
-// Peers hear of one holder of a beginning, and pass on the first that they hear of alone.
+// Peers learn of one holder of a prefix, and pass on only the first one that they learn of.
 func TestOnlyOnePrefixHolderIsPublished(t *testing.T) {
 	is := is.New(t)
 	from, to := newSettledCore(9), newSettledCore(9)
@@ -76,7 +76,7 @@
 	is.Equal(len(to.holders.holdersOf(start, keyOf("beginning"))), 1)
 }
 
-// A beginning whose holder has gone is noted at the next one.
+// When the holder of a prefix is gone, the next back end that prefills it becomes the holder.
 func TestPrefixGetsNewHolderAfterItsHolderIsGone(t *testing.T) {
 	is := is.New(t)
 	list := backEnds(9, 64)
@@ -94,8 +94,8 @@
 	is.Equal(core.usableHolder(now, keyOf("beginning"), nil).backEnd.ID, second.BackEnd.ID)
 }
 
-// A member that joined took the place of the next in order, which may have read all of the
-// prompt: more than its beginning.
+// A member that joined now ranks before the member that ranked first until then, which may have
+// prefilled the whole prompt: more than its prefix.
 func TestNewcomerCopiesFromPreviouslyFirstRankedBackEnd(t *testing.T) {
 	is := is.New(t)
 	core := newSettledCore(6)
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -8,88 +8,92 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// crashMemory remembers which requests were under way at back ends when these crashed, by the
-// content of the request: one that crashes whatever runs it comes again under another ID, at
-// any gateway, and each time takes with it all that runs beside it.
+// crashMemory remembers which requests were in flight at back ends when these crashed, by the
+// content of the request. A request that crashes every back end comes back under another ID,
+// at any gateway, and each crash also ends all other requests running on that back end.
 //
-// What is known of a crash only rises (see evidence), and records are merged by the higher
-// evidence of each crash. So gateways that were told the same in any order agree, and news
-// that goes round ends where it is known.
+// The evidence for a crash only ever rises (see evidence), and records are merged by taking
+// the higher evidence of each crash. So gateways that received the same reports agree,
+// regardless of the order, and a report stops spreading where it is already known.
 type crashMemory struct {
-	// suspected are contents under which fewer than crashesToWithhold back ends crashed, and
-	// withheld the others: a zone that fails at once must not push out the few that matter.
+	// suspected holds contents under which fewer than crashesToWithhold back ends crashed, and
+	// withheld the others. They are kept apart so that the failure of a whole zone can't evict
+	// the few withheld contents.
 	suspected *lru.Cache[Fingerprint, *crashRecord]
 	withheld  *lru.Cache[Fingerprint, *crashRecord]
-	// untold are crashes that may yet turn out to be none, the oldest first.
+	// unpublished holds crashes that may still turn out not to be any, oldest first.
 	unpublished []unpublishedCrash
-	// brokeAt is when requests last broke off at incarnations that weren't heard of since.
+	// lostAt is when a connection was last lost at each incarnation that hasn't answered since.
 	lostAt map[incarnationKey]time.Time
-	// changes numbers the changes that peers are told of.
+	// changes is the sequence number of the last change that is published to peers.
 	changes uint64
-	// changed are the contents that became withheld, or are no longer, since they were taken.
+	// withheldChanges are the contents that became withheld or were released since
+	// TakeWithheldChanges was last called.
 	withheldChanges []WithheldChange
 }
 
-// incarnationKey stands for one life of a back end among gateways: its ID and its start.
+// incarnationKey identifies an incarnation of a back end among gateways, by its ID and start
+// time.
 type incarnationKey uint32
 
-// evidence is what is known of one crash. Higher values replace lower ones.
+// evidence is what is known of one presumed crash. Higher values replace lower ones.
 type evidence uint8
 
 const (
-	// presumed: the connection broke off, and nothing has been heard of the back end since.
+	// presumed: a connection was lost, and the back end hasn't answered since.
 	presumed evidence = iota + 1
 	// survived: the back end has answered another request since, so it hadn't crashed.
 	survived
-	// confirmed: no connection could be made since, or another incarnation was met.
+	// confirmed: a connection attempt has failed since, or another incarnation was found.
 	confirmed
-	// acquitted: the same content has been answered whole since.
+	// cleared: a request with the same content has been answered completely since.
 	cleared
 )
 
-// counts tells whether the evidence speaks against the content.
+// countsAsCrash reports whether the evidence counts against the content.
 func (e evidence) countsAsCrash() bool { return e == presumed || e == confirmed }
 
 const (
 	// crashesToWithhold is the number of back ends that must have crashed under a content
-	// until it is withheld. Fewer would withhold more requests that were merely there: of
-	// 16 back ends that crashed in ten seconds, 20 other requests met two and 5 met three.
+	// before it is withheld. Fewer would withhold unrelated requests: when 16 back ends crashed
+	// within ten seconds, 20 other requests were in flight at two of them, and 5 at three.
 	crashesToWithhold = 3
-	// crashesPerRecord bounds those remembered of a content.
+	// crashesPerRecord bounds the crashes remembered per content.
 	crashesPerRecord = 8
-	// rememberedSuspects and rememberedWithheld bound the contents.
+	// maxSuspected and maxWithheld bound the contents remembered.
 	maxSuspected = 1024
 	maxWithheld  = 4096
-	// crashSettles is how long a presumed crash isn't told: a back end that only dropped
-	// connections answers something meanwhile, and hundreds of records needn't be told.
+	// crashPublishDelay is how long a presumed crash isn't published to peers. A back end that
+	// only dropped connections answers a request in that time, which saves publishing hundreds
+	// of records.
 	crashPublishDelay = 500 * time.Millisecond
-	// mostBroken bounds the incarnations that are waited for.
+	// maxAwaited bounds the incarnations whose next answer is awaited.
 	maxAwaited = 4096
-	// withheldTime is how long a content is withheld after the last crash under it.
+	// withholdTime is how long a content is withheld after the last crash under it.
 	withholdTime = 24 * time.Hour
 )
 
-// crash is one back end's end under requests of a content.
+// crash is the presumed crash of one back end while it ran a request with a content.
 type crash struct {
 	incarnation incarnationKey
 	evidence    evidence
-	// isTold is false while it may yet turn out to be none, and isOwn is true where this
-	// gateway observed it itself.
+	// isPublished is false while the crash may still turn out not to be one, and isLocal is
+	// true if this gateway observed it itself.
 	isPublished bool
 	isLocal     bool
 }
 
-// crashRecord is what is known of one content.
+// crashRecord holds the crashes under one content.
 type crashRecord struct {
 	fingerprint Fingerprint
 	crashes     []crash
-	// lastAt is when the last crash was noted.
+	// lastAt is when the last crash was recorded.
 	lastAt time.Time
-	// change is the number of the record's last change.
+	// change is the sequence number of the record's last change.
 	change uint64
 }
 
-// untoldCrash names a crash that isn't told yet.
+// unpublishedCrash identifies a crash that isn't published yet.
 type unpublishedCrash struct {
 	fingerprint Fingerprint
 	incarnation incarnationKey
@@ -99,16 +103,16 @@
 func newCrashMemory() *crashMemory {
 	suspected, err := lru.New[Fingerprint, *crashRecord](maxSuspected)
 	if err != nil {
-		panic(err) // the size is fixed and above 0
+		panic(err) // the size is constant and positive
 	}
 	withheld, err := lru.New[Fingerprint, *crashRecord](maxWithheld)
 	if err != nil {
-		panic(err) // the size is fixed and above 0
+		panic(err) // the size is constant and positive
 	}
 	return &crashMemory{suspected: suspected, withheld: withheld, lostAt: map[incarnationKey]time.Time{}}
 }
 
-// isEmpty tells whether nothing is known of any content.
+// isEmpty reports whether there is no record of any content.
 func (m *crashMemory) isEmpty() bool { return m.suspected.Len() == 0 && m.withheld.Len() == 0 }
 
 func (m *crashMemory) get(fingerprint Fingerprint) *crashRecord {
@@ -119,7 +123,7 @@
 	return record
 }
 
-// obtain returns the record of a content, a new one if need be.
+// getOrCreate returns the record of a content, which it creates if there is none.
 func (m *crashMemory) getOrCreate(fingerprint Fingerprint) *crashRecord {
 	record := m.get(fingerprint)
 	if record == nil {
@@ -129,7 +133,8 @@
 	return record
 }
 
-// broke notes that a request of the content broke off at the incarnation.
+// connectionLost records that the connection of a request with the content was lost at the
+// incarnation.
 func (m *crashMemory) connectionLost(now time.Time, fingerprint Fingerprint, of incarnationKey) {
 	record := m.getOrCreate(fingerprint)
 	record.lastAt = now
@@ -143,14 +148,14 @@
 	m.classify(record, false)
 }
 
-// isBroken tells whether requests broke off at the incarnation, and nothing was heard of it since.
+// isAwaited reports whether connections were lost at the incarnation and it hasn't answered since.
 func (m *crashMemory) isAwaited(of incarnationKey) bool {
 	_, awaited := m.lostAt[of]
 	return awaited
 }
 
-// answered notes that the incarnation answered a request that was sent at the time, and tells
-// whether requests had broken off there and nothing was heard of it for crashSettles since.
+// answered records that the incarnation answered a request sent at sentAt. It reports whether
+// connections had been lost there and no answer had come for at least crashPublishDelay.
 func (m *crashMemory) answered(now time.Time, of incarnationKey, sentAt time.Time) (wasAway bool) {
 	lostAt, awaited := m.lostAt[of]
 	if !awaited || !sentAt.After(lostAt) {
@@ -161,8 +166,8 @@
 	return now.Sub(lostAt) >= crashPublishDelay
 }
 
-// confirm notes that the incarnation is no longer there, and tells whether requests broke off
-// at it before.
+// confirmGone records that the incarnation no longer exists, and reports whether connections
+// had been lost at it before.
 func (m *crashMemory) confirmGone(of incarnationKey) bool {
 	if _, awaited := m.lostAt[of]; !awaited {
 		return false
@@ -172,7 +177,7 @@
 	return true
 }
 
-// judge raises the evidence of all crashes of the incarnation.
+// raiseEvidence raises the evidence of all presumed crashes of the incarnation.
 func (m *crashMemory) raiseEvidence(of incarnationKey, found evidence) {
 	for _, record := range m.records() {
 		at := record.index(of)
@@ -192,7 +197,7 @@
 	}
 }
 
-// acquit notes that a request of the content was answered whole.
+// clearContent records that a request with the content was answered completely.
 func (m *crashMemory) clearContent(fingerprint Fingerprint) {
 	record := m.get(fingerprint)
 	if record == nil {
@@ -208,7 +213,7 @@
 	}
 }
 
-// settle lets peers be told of the crashes whose time to turn out to be none has passed.
+// publishDue publishes the crashes whose crashPublishDelay has passed.
 func (m *crashMemory) publishDue(now time.Time) {
 	for len(m.unpublished) > 0 && !now.Before(m.unpublished[0].publishAt) {
 		due := m.unpublished[0]
@@ -224,7 +229,7 @@
 	}
 }
 
-// merge takes what a peer told of a content.
+// merge merges a peer's record of a content.
 func (m *crashMemory) merge(now time.Time, received CrashRecord) {
 	record := m.getOrCreate(received.Fingerprint)
 	raised := false
@@ -244,14 +249,14 @@
 	}
 }
 
-// note numbers a change of the record.
+// markChanged gives the record the next sequence number.
 func (m *crashMemory) markChanged(record *crashRecord) {
 	m.changes++
 	record.change = m.changes
 }
 
-// classify keeps the record among the withheld ones or the others; isTold is true after a peer's
-// word.
+// classify moves the record between the suspected and the withheld ones as needed; isFromPeer
+// is true after a peer's report.
 func (m *crashMemory) classify(record *crashRecord, isFromPeer bool) {
 	fingerprint, crashes := record.fingerprint, record.crashCount()
 	isWithheld, wasWithheld := crashes >= crashesToWithhold, m.withheld.Contains(fingerprint)
@@ -269,7 +274,7 @@
 	m.withheldChanges = append(m.withheldChanges, WithheldChange{Record: record.export(), Withheld: isWithheld, Own: isOwn})
 }
 
-// withholds tells whether requests of the content are withheld.
+// withholds reports whether requests with the content are withheld.
 func (m *crashMemory) withholds(now time.Time, fingerprint Fingerprint) bool {
 	record, withheld := m.withheld.Get(fingerprint)
 	if !withheld {
@@ -287,8 +292,8 @@
 	return append(m.suspected.Values(), m.withheld.Values()...)
 }
 
-// since returns at most so many records that changed after the number, in the order of their
-// change, and the number to go on from.
+// changedSince returns at most limit records that changed after the cursor, in the order of
+// their change, and the next cursor.
 func (m *crashMemory) changedSince(cursor uint64, limit int) ([]CrashRecord, uint64) {
 	if cursor >= m.changes {
 		return nil, m.changes
@@ -316,9 +321,9 @@
 	return slices.IndexFunc(r.crashes, func(each crash) bool { return each.incarnation == of })
 }
 
-// raise takes a crash whose evidence is higher than what is known of it, and tells whether
-// anything changed. Where there are too many, one that speaks against the content takes the
-// place of one that doesn't.
+// raise records a crash with higher evidence than known so far, and reports whether anything
+// changed. If the record is full, a crash that counts against the content replaces one that
+// doesn't.
 func (r *crashRecord) raise(found crash) bool {
 	if at := r.index(found.incarnation); at >= 0 {
 		if r.crashes[at].evidence >= found.evidence {
@@ -340,12 +345,12 @@
 	return true
 }
 
-// hasOwn tells whether this gateway observed any of the crashes.
+// hasLocal reports whether this gateway observed any of the crashes itself.
 func (r *crashRecord) hasLocal() bool {
 	return slices.ContainsFunc(r.crashes, func(each crash) bool { return each.isLocal })
 }
 
-// counted returns the number of crashes that speak against the content.
+// crashCount returns the number of crashes that count against the content.
 func (r *crashRecord) crashCount() int {
 	count := 0
 	for _, each := range r.crashes {
@@ -356,12 +361,12 @@
 	return count
 }
 
-// told returns what peers are told: all but the crashes that may yet turn out to be none.
+// published returns the record for peers: all crashes that may be published by now.
 func (r *crashRecord) published() CrashRecord {
 	return r.filtered(func(each crash) bool { return each.isPublished })
 }
 
-// whole returns all that is known.
+// export returns the record with all crashes.
 func (r *crashRecord) export() CrashRecord { return r.filtered(func(crash) bool { return true }) }
 
 func (r *crashRecord) filtered(includes func(crash) bool) CrashRecord {
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -14,14 +14,14 @@
 	_ "github.com/harriernotch/harriernotch/internal/fixedseed"
 )
 
-// requestOf returns a request of a content.
+// requestWithContent returns a request with a content.
 func requestWithContent(content uint64, id string) Request {
 	made := request(repeatable(1), id)
 	made.Fingerprints = func() []Fingerprint { return []Fingerprint{Fingerprint(content)} }
 	return made
 }
 
-// crashUnder lets requests of a content break off, and returns the back ends.
+// crashBackEnds loses the connections of requests with a content, and returns the back ends.
 func crashBackEnds(core *Core, now time.Time, content uint64, times int) []string {
 	var crashed []string
 	for i := range times {
@@ -31,12 +31,12 @@
 		}
 		crashed = append(crashed, decision.Send.BackEnd.ID)
 		core.ConnectionLost(now, x)
-		core.members[decision.Send.BackEnd.ID].health.connectFailed(now) // it is away
+		core.members[decision.Send.BackEnd.ID].health.connectFailed(now) // not reachable afterwards
 	}
 	return crashed
 }
 
-// isWithheld tells whether a further request of the content is refused as withheld.
+// isWithheld reports whether a new request with the content is refused as withheld.
 func isWithheld(core *Core, now time.Time, content uint64) bool {
 	probe := requestWithContent(content, "probe")
 	probe.Deadline = now.Add(time.Minute)
@@ -60,7 +60,7 @@
 	is.True(!isWithheld(core, start.Add(withholdTime+time.Minute), 7))
 }
 
-// What may have run is never answered with a promise that it didn't.
+// A request that may have run must not be answered with an error that promises it didn't.
 func TestWithheldRetryIsReportedAsPossiblyRun(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(12, 6))
@@ -83,7 +83,7 @@
 		m.health = health{}
 	}
 	later := start.Add(100 * time.Millisecond)
-	for i := range 100 { // every back end answers some
+	for i := range 100 { // every back end answers some of them
 		x, decision := core.Begin(later, requestWithContent(uint64(100+i), fmt.Sprint(i)))
 		if decision.Send != nil {
 			core.Answered(later, x, -1)
@@ -92,7 +92,7 @@
 	}
 	is.True(!isWithheld(core, later, 7))
 	records, _ := core.CrashesSince(later.Add(time.Minute), 0, 100)
-	is.Equal(len(records), 0) // and nobody is told
+	is.Equal(len(records), 0) // nor is anything published to peers
 }
 
 func TestCompleteAnswerReleasesContent(t *testing.T) {
@@ -104,7 +104,7 @@
 	core.Answered(start, x, -1)
 	core.Completed(x)
 	is.True(!isWithheld(core, start, 7))
-	is.Equal(len(crashBackEnds(core, start, 7, 5)), crashesToWithhold) // later crashes count anew
+	is.Equal(len(crashBackEnds(core, start, 7, 5)), crashesToWithhold) // later crashes are counted from zero
 }
 
 func TestConnectionLossAtLeavingBackEndIsNotACrash(t *testing.T) {
@@ -122,7 +122,7 @@
 	is.True(!isWithheld(core, start, 7))
 }
 
-// A back end that starts again under its ID is another one.
+// A back end that restarts under the same ID is a new incarnation.
 func TestEachIncarnationCountsAsSeparateCrash(t *testing.T) {
 	is := is.New(t)
 	list := backEnds(1, 6)
@@ -138,8 +138,8 @@
 	is.True(isWithheld(core, start.Add(time.Minute), 7))
 }
 
-// A zone that fails takes with it hundreds of requests, which must not push out those that
-// are withheld.
+// The failure of a zone interrupts hundreds of requests. Their contents must not evict the
+// withheld ones.
 func TestManySuspectsDoNotEvictWithheldContent(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(12, 6))
@@ -156,7 +156,7 @@
 	observer, peer := newCore(backEnds(12, 6)), newCore(backEnds(12, 6))
 	crashBackEnds(observer, start, 7, crashesToWithhold)
 	records, cursor := observer.CrashesSince(start, 0, 100)
-	is.Equal(len(records), 0) // it may yet turn out to be none
+	is.Equal(len(records), 0) // they may still turn out not to be crashes
 	records, cursor = observer.CrashesSince(start.Add(crashPublishDelay), cursor, 100)
 	is.Equal(len(records), 1)
 	peer.MergeCrashes(start, records)
@@ -168,8 +168,8 @@
 	is.Equal(len(records), 0)
 }
 
-// However news of crashes, survivals and answers goes round, late, doubled, in parts, all
-// gateways end with the same contents withheld.
+// Reports of crashes, survivals and answers may arrive late, twice, in part and in any order. All
+// gateways must end up with the same contents withheld.
 func TestCrashRecordsConvergeInAnyDeliveryOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const gateways = 4
--- a/internal/dispatch/disable.go
+++ b/internal/dispatch/disable.go
@@ -1,92 +1,92 @@
 package dispatch
 
-// Mechanism names a mechanism of a gateway that can be switched off, to show that a
-// check notices its absence or what it is worth. Nothing else may use it.
+// Mechanism names a mechanism of a gateway that can be switched off, to show that a check
+// detects its absence or to measure what it contributes. It has no other use.
 type Mechanism string
 
-// The mechanisms that keep a promise to callers.
+// The mechanisms that keep the promises made to callers.
 const (
-	// AtMostOnce keeps what may have run from being sent again, and attempts within
-	// the route.
+	// AtMostOnce prevents that a request that may have run is sent again, and limits attempts
+	// to those that the route allows.
 	AtMostOnce Mechanism = "at-most-once"
-	// RespectLeaving keeps new work from back ends that leave.
+	// RespectLeaving keeps new requests from back ends that are leaving.
 	RespectLeaving Mechanism = "leaving"
-	// HeedNotices keeps requests from back ends whose answers say that they leave, or that they
-	// want to be left alone.
+	// RespectNotices keeps requests from back ends whose answers announce that they are leaving,
+	// or that ask for a pause with Retry-After.
 	RespectNotices Mechanism = "notices"
-	// RespectEvacuations keeps new work from the zones that operators evacuate.
+	// RespectEvacuations keeps new requests from zones that operators evacuate.
 	RespectEvacuations Mechanism = "evacuations"
-	// WarmUpLimit keeps back ends that warm up within the rate that they bear.
+	// WarmUpLimit limits the request rate of back ends that are warming up.
 	WarmUpLimit Mechanism = "warm-up-limit"
-	// OwnAnswers drops answers to other requests and those without a back end's mark.
+	// VerifyAnswers rejects answers that belong to other requests or lack a back end's signature.
 	VerifyAnswers Mechanism = "own-answers"
-	// FollowConfiguration adopts versions after the first.
+	// FollowConfiguration adopts new versions of the configuration after the first.
 	FollowConfiguration Mechanism = "configuration"
-	// FollowEras orders what the platform's store says by its era before its revision.
+	// FollowEras orders the store's records by era before revision.
 	FollowEras Mechanism = "eras"
-	// Withholding keeps requests that crash back ends from the others.
+	// Withholding stops requests whose content crashes back ends.
 	Withholding Mechanism = "withholding"
-	// RetryBudget bounds further attempts.
+	// RetryBudget bounds the number of retries.
 	RetryBudget Mechanism = "retry-budget"
-	// Exposure keeps most requests from a version that isn't known to be good.
+	// Exposure limits the requests sent to a version that isn't known to be good.
 	Exposure Mechanism = "exposure"
 )
 
-// The mechanisms that make a better choice. Without one of them every promise but the
-// bound on load is kept, and callers are served worse.
+// The mechanisms that make a better choice. Without one of them every promise except the
+// bound on load is still kept, but callers are served worse.
 const (
-	// Affinity sends a prompt's shared parts to the same back ends.
+	// Affinity sends requests with the same shared prompt parts to the same back ends.
 	Affinity Mechanism = "affinity"
-	// HoldersFirst prefers back ends that are believed to hold the parts.
+	// HoldersFirst prefers back ends that are assumed to hold the parts in their cache.
 	HoldersFirst Mechanism = "holders-first"
-	// HoldersTold passes on to peers, and takes from them, who holds what.
+	// ShareHoldings exchanges with peers which back ends hold which parts.
 	ShareHoldings Mechanism = "holders-told"
-	// EvenMemory gives new homes where less is held once memory is scarce.
+	// BalanceMemory places new parts on back ends that hold less, once memory is scarce.
 	BalanceMemory Mechanism = "even-memory"
-	// Copying names a back end to copy a prompt's parts from.
+	// Copying names a back end from which a prompt's parts can be copied.
 	Copying Mechanism = "copying"
-	// PrefixCopies copies the beginning of a prompt where nobody holds the rest.
+	// PrefixCopies copies the prefix of a prompt if no back end holds the rest.
 	PrefixCopies Mechanism = "prefix-copies"
-	// LoadBound keeps a caching back end's load within the bound.
+	// LoadBound keeps the load of a caching back end within the bound.
 	LoadBound Mechanism = "load-bound"
-	// Lots shares the room near the bound among gateways.
+	// AdmissionLottery divides the room near the bound among gateways at random.
 	AdmissionLottery Mechanism = "lots"
-	// PeersSince takes peers to have sent as much as this gateway since their word.
+	// ExtrapolatePeers assumes that peers have sent as much as this gateway since their last report.
 	ExtrapolatePeers Mechanism = "peers-since"
-	// Spread draws among members by lot where loads are known late.
+	// Spread chooses members at random, by free capacity, if load information is out of date.
 	Spread Mechanism = "spread"
 	// UrgencySteps refuses the least urgent requests first.
 	UrgencySteps Mechanism = "urgency-steps"
-	// EngineRank tells back ends the urgency of a request.
+	// EnginePriority sends the urgency of a request to the back end.
 	EnginePriority Mechanism = "engine-rank"
-	// Ejection leaves failing back ends alone for a while.
+	// Ejection stops sending to failing back ends for a while.
 	Ejection Mechanism = "ejection"
-	// Silence takes back ends that let requests wait for silent.
+	// SilenceDetection avoids back ends that leave requests without any answer.
 	SilenceDetection Mechanism = "silence"
-	// Trials tries back ends one request at a time after an ejection.
+	// Trials sends one request at a time to a back end after its ejection.
 	Trials Mechanism = "trials"
-	// WholePool uses all of a pool when most of it is in trouble.
+	// WholePool uses all reachable members of a pool if most of them are ejected.
 	WholePool Mechanism = "whole-pool"
-	// Lapse uses back ends that vanished from the list together.
+	// Lapse keeps using back ends that disappeared from the list together.
 	Lapse Mechanism = "lapse"
-	// FailingPaths doesn't try again what fails on every back end.
+	// FailingPaths doesn't retry requests whose path fails on every back end.
 	FailingPaths Mechanism = "failing-paths"
-	// OwnZone prefers the own zone among equally loaded back ends.
+	// OwnZone prefers the gateway's own zone among equally loaded back ends.
 	OwnZone Mechanism = "own-zone"
-	// LateRefusal refuses some requests at once while the process runs late.
+	// LoadShedding refuses some requests at once while the process lags.
 	LoadShedding Mechanism = "late-refusal"
-	// FurtherAttempts tries another back end after one failed.
+	// Retries tries another back end after a failed attempt.
 	Retries Mechanism = "further-attempts"
-	// Resumption continues broken streams at another back end.
+	// Resumption continues interrupted streams at another back end.
 	Resumption Mechanism = "resumption"
 )
 
-// Promises lists the mechanisms without which a promise is broken.
+// Promises returns the mechanisms without which a promise to callers is broken.
 func Promises() []Mechanism {
 	return []Mechanism{AtMostOnce, RespectLeaving, RespectNotices, RespectEvacuations, WarmUpLimit, VerifyAnswers, FollowConfiguration, RetryBudget, Withholding, FollowEras, Exposure}
 }
 
-// Choices lists the mechanisms without which callers are served worse.
+// Optimizations returns the mechanisms without which callers are served worse.
 func Optimizations() []Mechanism {
 	return []Mechanism{
 		Affinity, HoldersFirst, ShareHoldings, BalanceMemory, Copying, PrefixCopies, LoadBound, AdmissionLottery, ExtrapolatePeers, Spread, UrgencySteps,
@@ -94,7 +94,7 @@
 	}
 }
 
-// Mechanisms lists all of them.
+// Mechanisms returns all mechanisms.
 func Mechanisms() []Mechanism { return append(Promises(), Optimizations()...) }
 
 // Disabled is the set of mechanisms that are switched off.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,7 +1,8 @@
-// Package dispatch decides, for one gateway, which back end gets a request, what
-// follows from each outcome of an attempt, and what the gateway believes of each
-// back end. A gateway sends straight to back ends: no agent stands between, so
-// the bound on load, at-most-once and drain are all decided here.
+// Package dispatch decides, for one gateway, which back end serves each request,
+// how to proceed after each outcome of an attempt, and in which state each back
+// end is assumed to be. Gateways send to back ends directly, without an agent in
+// between, so this package also enforces the bound on load, at-most-once
+// execution, and draining.
 //
 // Core is a state machine without I/O: callers pass in the time.
 package dispatch
@@ -16,44 +17,45 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// Config tunes a Core.
+// Config holds the parameters of a Core.
 type Config struct {
 	// Zone is the gateway's own zone.
 	Zone string
 	// LoadMultiple and LoadSlack are the operators' bound on the load of a back
-	// end that caches prefixes: LoadMultiple times its pool's mean plus LoadSlack,
-	// in requests. The core aims lower, since it sees loads late; see bound. Higher
-	// values keep more chats at the back end that caches them, and leave the pool
-	// less even.
+	// end that caches prefixes: LoadMultiple times the mean load of its pool plus
+	// LoadSlack, in requests. The core aims lower, because the loads that it knows
+	// are out of date; see bound. Higher values keep more chats on the back end
+	// that caches them and balance the pool less evenly.
 	LoadMultiple float64
 	LoadSlack    float64
-	// QueueFactor is how many requests per slot a plain back end is given before
-	// the gateway refuses instead; CachingFactor is the same for back ends that
-	// cache prompts, and for the most urgent requests.
+	// QueueFactor is the number of requests per slot that a back end without a
+	// prefix cache may be given; beyond that the gateway refuses the request.
+	// CachingFactor is the same for the most urgent requests at back ends that
+	// cache prompts.
 	QueueFactor   float64
 	CachingFactor float64
-	// RetryRatio and RetryExtra bound the further attempts of all gateways
-	// together in any window; see limits.ShareOfBudget.
+	// RetryRatio and RetryExtra bound the retries of all gateways together in any
+	// time window; see limits.RetryBudgetShare.
 	RetryRatio float64
 	RetryExtra float64
-	// LapseTime is how long a back end that vanished from the list without having
-	// said that it leaves may still get requests while its pool is short; see
-	// lapse.go. It must be shorter than the time within which a back end that has
-	// gone may get no new request.
+	// LapseTime is how long a back end that disappeared from the list without
+	// having announced that it leaves may still get requests while its pool is
+	// short of members; see lapse.go. It must be shorter than the time after which
+	// a back end that is gone must not get new requests.
 	LapseTime time.Duration
-	// WarmUpOverage and WarmUpExtra are the operators' limit on a back end that warms
-	// up: WarmUpOverage times its service's rate plus WarmUpExtra, in requests within
-	// any second, from all gateways together.
+	// WarmUpOverage and WarmUpExtra are the operators' limit for a back end that is
+	// warming up: WarmUpOverage times its service's warm-up rate plus WarmUpExtra, in
+	// requests within any second, from all gateways together.
 	WarmUpOverage float64
 	WarmUpExtra   float64
-	// Rollout bounds the exposure to a bad version while a service is moved to it; none where
-	// operators don't move services.
+	// Rollout bounds the exposure to a bad version during a rollout. The zero value
+	// disables rollouts.
 	Rollout rollout.Limits
-	// Disabled switches mechanisms off to show that checks notice.
+	// Disabled switches mechanisms off, to show that the checks detect it.
 	Disabled Disabled
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default configuration.
 func DefaultConfig() Config {
 	return Config{
 		LoadMultiple: 2,
@@ -68,27 +70,28 @@
 	}
 }
 
-// Core decides for one gateway. It is not safe for concurrent use.
+// Core makes the dispatch decisions of one gateway. It is not safe for concurrent use.
 type Core struct {
 	config   Config
 	pools    map[string]*pool
 	services map[string]catalog.Service
 	members  map[string]*member
 	lapsed   map[string]lapsedMember
-	// listedAt is when the first list of back ends came.
+	// listedAt is when the first list of back ends arrived.
 	listedAt time.Time
 	peers    peerLoads
-	// totalsAt is when the last totals came, and totalsInterval the mean time between
-	// two.
+	// totalsAt is when the last totals arrived, and totalsInterval the mean time
+	// between two totals.
 	totalsAt       time.Time
 	totalsInterval time.Duration
-	// usable, order and shares are reused by each decision.
+	// usable, order and shares are buffers that each decision reuses.
 	usable []*member
-	// unspent is usable without members that may get nothing; see withoutSpent.
+	// withQuota is usable without the members whose warm-up quota is used up; see
+	// withWarmUpQuota.
 	withQuota []*member
 	order     preference
 	shares    []share
-	// paces are those of the services.
+	// localResidences holds the residence times of this gateway's own requests, by service.
 	localResidences map[string]*localResidence
 	holders         *holderMemory
 	paths           *pathMemory
@@ -97,37 +100,37 @@
 	gateways        int
 	healthChanges   []HealthChange
 	lag             time.Duration
-	// evacuated are the zones whose back ends get nothing new, and restored those whose
-	// order was taken back, until the next one.
+	// evacuated lists the zones whose back ends get no new requests. restored holds, by zone,
+	// the last evacuation that was withdrawn.
 	evacuated []string
 	restored  map[string]restoration
 	selection gatewaySelection
 	rollouts  rollouts
-	// displaced are lives that have ended though they are listed, and leaving those whose
-	// answers have said that they leave.
+	// displaced holds incarnations that have ended although they may still be listed, and
+	// leaving those whose answers announced that they are leaving.
 	displaced incarnationLog
 	leaving   incarnationLog
 }
 
-// HealthChange is a changed belief on a back end.
+// HealthChange is a change in the assumed health of a back end.
 type HealthChange struct {
 	BackEnd string
 	From    Health
 	To      Health
-	// Failures is the number of breaks in a row, and ErrorRate the recent share
-	// of failed answers: what the change was decided by.
+	// Failures is the number of consecutive connection failures, and ErrorRate the
+	// recent share of failed answers: the figures behind the change.
 	Failures  int
 	ErrorRate float64
 }
 
-// TakeHealthChanges returns the changed beliefs since the last call.
+// TakeHealthChanges returns the health changes since the last call and clears them.
 func (c *Core) TakeHealthChanges() []HealthChange {
 	changes := c.healthChanges
 	c.healthChanges = nil
 	return changes
 }
 
-// noteHealth records a change of the member's health since it was last noted.
+// recordHealthChange records a change of the member's health since the last record.
 func (c *Core) recordHealthChange(now time.Time, m *member) {
 	status := m.health.status(now)
 	if status == m.loggedHealth {
@@ -139,12 +142,12 @@
 	m.loggedHealth = status
 }
 
-// pool is the back ends of one service, by ID.
+// pool holds the back ends of one service, ordered by ID.
 type pool struct {
 	members []*member
 }
 
-// New returns a core that knows no back end.
+// New returns a Core that knows no back ends yet.
 func New(config Config) *Core {
 	return &Core{
 		config:  config,
@@ -167,8 +170,8 @@
 	}
 }
 
-// SetBackEnds replaces the list of back ends, which is ordered by ID. What is
-// believed of those that stay is kept.
+// SetBackEnds replaces the list of back ends, which is ordered by ID. The state
+// of back ends that remain listed is kept.
 func (c *Core) SetBackEnds(now time.Time, list []catalog.BackEnd) {
 	if c.listedAt.IsZero() {
 		c.listedAt = now
@@ -203,7 +206,7 @@
 	c.refreshRollouts(now)
 }
 
-// SetServices replaces what is known of the services as a whole.
+// SetServices replaces the settings of all services.
 func (c *Core) SetServices(list []catalog.Service) {
 	c.services = make(map[string]catalog.Service, len(list))
 	for _, each := range list {
@@ -211,8 +214,8 @@
 	}
 }
 
-// SetLag notes how late this process runs what is due: back ends are not taken for
-// silent for what it has not yet read.
+// SetLag sets how late this process currently runs its work. The lag is added to the silence
+// limit, so that back ends aren't considered silent for answers that this process hasn't read yet.
 func (c *Core) SetLag(lag time.Duration) {
 	c.lag = lag
 	for _, m := range c.members {
@@ -220,7 +223,7 @@
 	}
 }
 
-// SetGateways notes how many gateways share the work, this one included.
+// SetGateways sets the number of gateways that share the load, including this one.
 func (c *Core) SetGateways(count int) {
 	c.gateways = max(count, 1)
 	for _, budget := range c.budgets {
@@ -231,10 +234,10 @@
 	}
 }
 
-// unbounded is a budget that never ends.
+// unlimitedBudget is a retry budget that is never used up.
 const unlimitedBudget = 1e9
 
-// budget returns the service's budget for further attempts.
+// budget returns the retry budget of the service.
 func (c *Core) budget(service string) *limits.ShareOfBudget {
 	budget := c.budgets[service]
 	if budget == nil {
@@ -248,15 +251,15 @@
 	return budget
 }
 
-// Load is the number of requests that a gateway has under way at a back end.
+// Load is the number of requests that a gateway has in flight at a back end.
 type Load struct {
 	// BackEnd is the back end's ID.
 	BackEnd string `cbor:"1,keyasint"`
-	// Requests counts requests sent and not finished.
+	// Requests counts the requests that were sent and haven't finished.
 	Requests int `cbor:"2,keyasint"`
 }
 
-// Loads returns this gateway's own loads for its peers, without zeros.
+// Loads returns this gateway's own loads, without zeros, to be sent to its peers.
 func (c *Core) Loads() []Load {
 	var loads []Load
 	c.forEachMember(func(m *member) {
@@ -267,25 +270,26 @@
 	return loads
 }
 
-// PeerLoads takes a peer's loads, which replace what it told before.
+// SetPeerLoads replaces the loads that a peer reported before.
 func (c *Core) SetPeerLoads(now time.Time, peer string, loads []Load) {
 	c.peers.set(now, peer, loads, c.Loads())
 }
 
-// Belief is what the gateway believes of one back end, for status and logs.
+// BackEndStatus is the state of one back end as this gateway sees it, for status pages and logs.
 type BackEndStatus struct {
 	BackEnd catalog.BackEnd
 	Health  Health
-	// Own is this gateway's load, and Estimate that of all gateways.
+	// Own is the number of this gateway's requests in flight there, and Estimate the
+	// estimated number of all gateways' requests.
 	Own      int
 	Estimate float64
-	// Evacuated is true while its zone gets nothing new, and WarmsUp while it bears few
-	// requests.
+	// Evacuated is true while the back end's zone gets no new requests, and WarmsUp while
+	// the back end is warming up and its request rate is limited.
 	Evacuated bool
 	WarmsUp   bool
 }
 
-// Beliefs returns the beliefs on all back ends by service and ID.
+// BackEndStatuses returns the status of all back ends, ordered by service and ID.
 func (c *Core) BackEndStatuses(now time.Time) []BackEndStatus {
 	var statuses []BackEndStatus
 	for _, service := range slices.Sorted(maps.Keys(c.pools)) {
@@ -304,20 +308,20 @@
 	return statuses
 }
 
-// ServiceBelief is what the gateway believes of one service.
+// ServiceStatus is the state of one service as this gateway sees it.
 type ServiceStatus struct {
-	// Name is the service's.
+	// Name is the name of the service.
 	Name string
-	// RetryBudget is the number of further attempts left, UnderWay the number of
-	// this gateway's requests at back ends.
+	// RetryBudget is the number of retries left, and UnderWay the number of this
+	// gateway's requests in flight.
 	RetryBudget float64
 	UnderWay    int
-	// BackEnds counts those listed, and Unusable those believed not to work.
+	// BackEnds counts the listed back ends, and Unusable those that aren't healthy.
 	BackEnds int
 	Unusable int
 }
 
-// Services returns the beliefs on all services with back ends, by name.
+// ServiceStatuses returns the status of all services that have back ends, ordered by name.
 func (c *Core) ServiceStatuses(now time.Time) []ServiceStatus {
 	var statuses []ServiceStatus
 	for _, name := range slices.Sorted(maps.Keys(c.pools)) {
@@ -333,8 +337,8 @@
 	return statuses
 }
 
-// OldestPeer returns the age of the oldest loads of others that still count, or 0 without
-// any: that of the last totals, or of the oldest among those that peers told.
+// PeerLoadAge returns the age of the other gateways' loads in use, or 0 without any: the age
+// of the last totals, or of the oldest peer report that isn't outdated.
 func (c *Core) PeerLoadAge(now time.Time) time.Duration {
 	if c.totalsAreFresh(now) {
 		return now.Sub(c.totalsAt)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -52,7 +52,7 @@
 	is.True(decision.Send != nil)
 	decision = core.ConnectionLost(start, x)
 	is.True(decision.Send == nil)
-	is.Equal(decision.GiveUp.Kind, failure.BackendFailed) // promises nothing
+	is.Equal(decision.GiveUp.Kind, failure.BackendFailed) // makes no promise that it didn't run
 }
 
 func TestLaterRefusalDoesNotHideUnknownOutcome(t *testing.T) {
@@ -62,7 +62,7 @@
 	decision := core.ConnectionLost(start, x)
 	is.True(decision.Send != nil)
 	decision = core.Refused(start, x)
-	is.Equal(decision.GiveUp.Kind, failure.BackendFailed) // the first may have run
+	is.Equal(decision.GiveUp.Kind, failure.BackendFailed) // the first attempt may have run
 }
 
 func TestRefusedRequestIsRetriedElsewhere(t *testing.T) {
--- a/internal/dispatch/displaced.go
+++ b/internal/dispatch/displaced.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// A back end that crashed may stay listed for seconds, or for as long as the platform's store is
-// away, while another one has its address. Each send there is refused, and uses up one of the
-// attempts that the request has. Whoever meets another back end at the address knows for certain
-// that the life which was meant has ended, and tells the other gateways: each of hundreds would
-// otherwise find out by itself about each of a hundred such back ends.
+// A back end that crashed may stay listed for seconds, or as long as the store is unavailable,
+// while another back end already uses its address. Each request sent there is refused and uses
+// up one of the request's attempts. A gateway that finds another back end at the address knows
+// for certain that the intended incarnation has ended, and tells the other gateways. Otherwise
+// each of hundreds of gateways would have to find out about each of a hundred such back ends.
 
-// Displaced notes that another back end, which told its ID, has the address of the one that was
-// meant, and decides what follows.
+// Displaced records that another back end, which identified itself, uses the address of the
+// intended one, and decides how to proceed.
 func (c *Core) Displaced(now time.Time, x *Exchange) Decision {
 	c.displaced.add(addressedIncarnationOf(x.current.backEnd))
 	return c.Misdirected(now, x)
 }
 
-// DisplacedSince returns the lives known to have ended that a peer may lack which was told so
-// many, and the number to go on from.
+// DisplacedSince returns the incarnations known to have ended that were recorded after the
+// cursor, and the next cursor.
 func (c *Core) DisplacedSince(cursor uint64) (incarnations []uint32, next uint64) {
 	return c.displaced.since(cursor)
 }
 
-// TakeDisplaced takes the lives that a peer knows to have ended, and tells whether any is news.
+// MergeDisplaced merges the incarnations that a peer knows to have ended, and reports whether
+// any of them is new.
 func (c *Core) MergeDisplaced(incarnations []uint32) (added bool) {
 	added = c.displaced.merge(incarnations)
 	if added {
@@ -30,7 +31,7 @@
 	return added
 }
 
-// noteDisplaced takes a member for gone whose life is known to have ended.
+// noteDisplaced marks the member as gone if its incarnation is known to have ended.
 func (c *Core) noteDisplaced(m *member) {
 	if c.displaced.contains(m.backEnd) {
 		m.health.displaced = true
--- a/internal/dispatch/displaced_test.go
+++ b/internal/dispatch/displaced_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// meet lets a request of the core find another back end at its target's address.
+// displaceTarget sends a request whose target's address turns out to be used by another back end.
 func displaceTarget(c *Core, id string) (target string) {
 	x, decision := c.Begin(start, request(nonRepeatable(), id))
 	target = decision.Send.BackEnd.ID
@@ -15,7 +15,7 @@
 	return target
 }
 
-// What one gateway has met at an address, no other gateway sends to.
+// Once a gateway has found another back end at an address, no other gateway sends there.
 func TestPeersAvoidDisplacedBackEnd(t *testing.T) {
 	is := is.New(t)
 	one, other := newCore(backEnds(8, 6)), newCore(backEnds(8, 6))
@@ -23,7 +23,7 @@
 	incarnations, cursor := one.DisplacedSince(0)
 	is.Equal(len(incarnations), 1)
 	is.True(other.MergeDisplaced(incarnations))
-	is.True(!other.MergeDisplaced(incarnations)) // no news, so it isn't told on and on
+	is.True(!other.MergeDisplaced(incarnations)) // nothing new, so it isn't passed on forever
 	for i := range 200 {
 		_, decision := other.Begin(start, request(nonRepeatable(), fmt.Sprint(i)))
 		if decision.Send != nil {
@@ -34,8 +34,8 @@
 	is.Equal(len(incarnations), 0)
 }
 
-// A gateway that hears of it before it lists the back end knows it all the same, and one that is
-// back at another address is another.
+// A displacement applies even to a gateway that learned of it before it listed the back end. A
+// back end that returns at another address isn't affected.
 func TestDisplacementAppliesToOneAddress(t *testing.T) {
 	is := is.New(t)
 	one := newCore(backEnds(8, 6))
@@ -53,7 +53,7 @@
 	is.Equal(other.members[gone].health.status(start), Healthy)
 }
 
-// The memory is bounded, and whoever follows it misses nothing that is kept.
+// The memory is bounded, and readers get everything that is still remembered.
 func TestDisplacedIncarnationsAreBounded(t *testing.T) {
 	is := is.New(t)
 	core := newCore(nil)
--- a/internal/dispatch/evacuation.go
+++ b/internal/dispatch/evacuation.go
@@ -7,15 +7,16 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// restoration is when the order on a zone was taken back, and at which position of the store.
+// restoration records when this gateway learned that a zone's evacuation was withdrawn, and the
+// store position of the withdrawal.
 type restoration struct {
 	at       time.Time
 	position catalog.Position
 }
 
-// SetEvacuated replaces the list of zones whose back ends get nothing new. restored are
-// the orders that were taken back: the back ends of these zones may have turned cold while
-// they stood idle, and their entries tell so only with the next heartbeat.
+// SetEvacuated replaces the list of zones whose back ends get no new requests. restored are
+// evacuations that were withdrawn: the back ends of these zones may have become cold while
+// they were idle, and their entries show it only after the next heartbeat.
 func (c *Core) SetEvacuated(now time.Time, zones []string, restored []catalog.Evacuation) {
 	c.evacuated = zones
 	for _, each := range restored {
@@ -28,7 +29,7 @@
 }
 
 // coldByRestoration returns until when a back end counts as cold because its zone was
-// restored, whatever its entry says.
+// restored, regardless of its entry.
 func (c *Core) coldByRestoration(backEnd catalog.BackEnd) time.Time {
 	last, known := c.restored[backEnd.Zone]
 	if !known {
@@ -37,9 +38,10 @@
 	return last.at.Add(c.services[backEnd.Service].WarmUpTime)
 }
 
-// knowsRestoration tells whether the entry of a back end was written after its zone was
-// restored and tells of a warm-up. One that doesn't may come from before, by a slow watch
-// or an old list, and says nothing of the cold that followed.
+// coversRestoration reports whether a back end's entry is newer than the restoration of its
+// zone and states a warm-up. An entry that isn't may have been written before the restoration
+// and have arrived late, from a slow watch or an old list. It doesn't account for the warm-up
+// that the restoration made necessary.
 func (c *Core) coversRestoration(entry catalog.BackEnd) bool {
 	return entry.WarmUp > 0 && entry.WarmUpAt.Compare(c.restored[entry.Zone].position) > 0
 }
--- a/internal/dispatch/evacuation_test.go
+++ b/internal/dispatch/evacuation_test.go
@@ -11,7 +11,7 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// inZones returns back ends that lie in the zones by turns.
+// backEndsInZones returns back ends that are distributed over the zones in turn.
 func backEndsInZones(count, slots int, zones ...string) []catalog.BackEnd {
 	list := backEnds(count, slots)
 	for i := range list {
@@ -28,7 +28,7 @@
 		_, decision := core.Begin(start, request(repeatable(2), fmt.Sprint(i), Part{ID: fmt.Sprint("part", i), Tokens: 9000}, Part{ID: "own"}))
 		is.Equal(decision.Send.BackEnd.Zone, "b")
 	}
-	core.SetBackEnds(start, backEndsInZones(8, 64, "a", "b")) // one joins there
+	core.SetBackEnds(start, backEndsInZones(8, 64, "a", "b")) // one joins in zone a
 	_, decision := core.Begin(start, request(repeatable(2), "x"))
 	is.Equal(decision.Send.BackEnd.Zone, "b")
 }
@@ -39,7 +39,7 @@
 	core.SetEvacuated(start, []string{"b"}, nil)
 	x, first := core.Begin(start, request(repeatable(2), "x"))
 	is.Equal(first.Send.BackEnd.Zone, "a")
-	is.True(core.Refused(start, x).GiveUp != nil) // the one back end that is left refused it
+	is.True(core.Refused(start, x).GiveUp != nil) // the only remaining back end refused it
 }
 
 func TestRequestIsRefusedWhenAllZonesAreEvacuated(t *testing.T) {
@@ -54,7 +54,7 @@
 	is.True(decision.Send != nil)
 }
 
-// Back ends may have turned cold while they stood idle, and don't say so at once.
+// Back ends may have become cold while they were idle, and don't report it at once.
 func TestRestoredZoneWarmsUp(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEndsInZones(2, 64, "a"))
@@ -65,8 +65,8 @@
 	is.True(!core.BackEndStatuses(start.Add(3 * time.Second))[0].WarmsUp)
 }
 
-// An entry from before an order was taken back may come after the news of that: from a watch
-// of a slow store, or a list that is old. It knows nothing of the cold that followed.
+// An entry from before the restoration of a zone may arrive after it: from the watch of a slow
+// store, or from an old list. It doesn't account for the warm-up that is needed since.
 func TestEntryOlderThanRestorationDoesNotEndWarmUp(t *testing.T) {
 	is := is.New(t)
 	list := backEndsInZones(1, 64, "a")
@@ -79,12 +79,12 @@
 		core.SetBackEnds(start, list)
 		return core.BackEndStatuses(start.Add(time.Second))[0].WarmsUp
 	}
-	is.True(warmsUp(7, 100*time.Millisecond)) // an earlier warm-up, told late
-	is.True(warmsUp(0, 0))                    // warm, as far as that entry knew
+	is.True(warmsUp(7, 100*time.Millisecond)) // an earlier warm-up, received late
+	is.True(warmsUp(0, 0))                    // warm, according to an old entry
 	is.True(!warmsUp(10, 100*time.Millisecond))
 }
 
-// A back end of a restored zone that a gateway hears of only then counts as cold as well.
+// A back end of a restored zone that is listed only after the restoration counts as cold as well.
 func TestBackEndListedAfterRestorationWarmsUp(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEndsInZones(1, 64, "a"))
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -8,54 +8,54 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// Phase is where an exchange stands.
+// Phase is the state of an exchange.
 type Phase uint8
 
 // The phases of an exchange.
 const (
-	// Received: no attempt is under way.
+	// Received: no attempt is in flight.
 	Received Phase = iota
-	// Sent: an attempt waits for its answer.
+	// Sent: an attempt is waiting for its answer.
 	Sent
-	// Answering: an answer is passed on.
+	// Answering: an answer is being passed on to the caller.
 	Answering
-	// Ended: the caller has its final answer, or left.
+	// Ended: the caller has the final answer, or has disconnected.
 	Ended
 )
 
-// Exchange is one request on its way. The methods of Core drive it.
+// Exchange tracks one request from its arrival to its end. The methods of Core drive it.
 type Exchange struct {
 	request Request
 	service string
 	phase   Phase
-	// attempts counts back ends that may have received the request.
+	// attempts counts the back ends that may have received the request.
 	attempts int
-	// connects counts connections that could not be made.
+	// failedConnects counts the failed connection attempts.
 	failedConnects int
 	tried          []string
 	current        *member
 	// sentAt is when the current attempt began.
 	sentAt time.Time
-	// ran is what is known of all attempts so far.
+	// ran is whether the request may have run, as far as is known after all attempts so far.
 	ran failure.Ran
-	// side is the version that may take the next attempt while the service is moved to another
-	// one, and run is the current attempt as the judge of the move follows it.
+	// side is the version that the next attempt may go to during a rollout, and
+	// rolloutAttempt the rollout judge's record of the current attempt.
 	side           rollout.Side
 	rolloutAttempt *rollout.Run
-	// worked is set once the current attempt is off the back end's load.
+	// slotReleased is set once the current attempt no longer counts towards the back end's load.
 	slotReleased bool
-	// settled is set once the current attempt doesn't wait for the back end any more.
+	// waitEnded is set once the current attempt no longer waits for the back end.
 	waitEnded bool
-	// whole is set once the caller has a whole answer.
+	// completed is set once the caller has a complete answer.
 	completed bool
-	// fingerprints are those of the request, once they were asked for.
+	// fingerprints caches the request's fingerprints after their first use.
 	fingerprints []Fingerprint
 }
 
 // Attempts returns how many back ends may have received the request.
 func (x *Exchange) Attempts() int { return x.attempts }
 
-// Ran tells whether a back end ran the request, as far as is known.
+// Ran reports whether a back end ran the request, as far as is known.
 func (x *Exchange) Ran() failure.Ran { return x.ran }
 
 // Service returns the service that the request goes to.
@@ -70,42 +70,43 @@
 	return false
 }
 
-// Send is an attempt to make.
+// Send describes an attempt to make.
 type Send struct {
-	// BackEnd is the target.
+	// BackEnd is the target of the attempt.
 	BackEnd catalog.BackEnd
-	// FetchFrom is the address of a back end that the target may copy the
-	// prompt's parts from, or "".
+	// FetchFrom is the address of a back end from which the target may copy the prompt's
+	// parts, or "".
 	FetchFrom string
-	// Patience is how long to wait for the answer's head before another back end
-	// is tried; 0 means until the deadline.
+	// HeadTimeout is how long to wait for the head of the answer before another back end is
+	// tried; 0 means until the deadline.
 	HeadTimeout time.Duration
-	// Estimate is the load that decided, and Candidates among how many.
+	// Estimate is the estimated load of the target, and Candidates the number of members of
+	// its pool.
 	Estimate   float64
 	Candidates int
-	// Version is that of the back end's software while its service is moved to another one.
+	// Version is the software version of the back end during a rollout of its service.
 	Version string
 }
 
-// Decision is what to do next: send, give up with an error, or, when both are
-// nil, pass on the answer at hand.
+// Decision is the next step: send an attempt, give up with an error, or, if both are nil,
+// pass on the answer that was received.
 type Decision struct {
 	Send   *Send
 	GiveUp *failure.Error
 }
 
 const (
-	// maxConnects bounds the back ends tried that can't be connected to.
+	// maxFailedConnects bounds the failed connection attempts per request.
 	maxFailedConnects = 4
-	// refusedWait is when to come back after one back end's refusal.
+	// refusalRetryAfter is the Retry-After returned after a back end's refusal.
 	refusalRetryAfter = 250 * time.Millisecond
-	// leastPatience and patienceObjectives bound the wait for a head while another back end
-	// may be tried: the least time, and so many times the route's objective.
+	// minHeadTimeout and headTimeoutObjectives determine the wait for the head of an answer while
+	// another back end may be tried: the minimum, and the multiple of the route's objective.
 	minHeadTimeout        = time.Second
 	headTimeoutObjectives = 3
 )
 
-// Begin takes a request and decides its first attempt.
+// Begin starts the exchange for a request and decides its first attempt.
 func (c *Core) Begin(now time.Time, request Request) (*Exchange, Decision) {
 	x := &Exchange{request: request, ran: failure.RanNo}
 	seed := request.ID
@@ -117,7 +118,7 @@
 	return x, c.attempt(now, x)
 }
 
-// attempt chooses a back end and notes the attempt.
+// attempt chooses a back end and starts the attempt.
 func (c *Core) attempt(now time.Time, x *Exchange) Decision {
 	if !now.Before(x.request.Deadline) {
 		return c.giveUp(now, x, failure.DeadlineUnmeetable, "the deadline passed before a back end answered")
@@ -158,7 +159,7 @@
 	return Decision{Send: send}
 }
 
-// patience bounds the wait for a head only while another attempt is allowed.
+// headTimeout limits the wait for the head of an answer only if another attempt is allowed.
 func (c *Core) headTimeout(x *Exchange) time.Duration {
 	route := x.request.Route
 	if !route.MayRepeat() || x.attempts+1 >= route.MaxAttempts || c.budget(x.service).Tokens() < 1 {
@@ -167,8 +168,8 @@
 	return max(minHeadTimeout, headTimeoutObjectives*route.Objective)
 }
 
-// giveUp ends the exchange. A request that may have run gets an answer that
-// promises nothing, whatever the last cause.
+// giveUp ends the exchange. A request that may have run gets an error that doesn't promise
+// otherwise, regardless of the last cause.
 func (c *Core) giveUp(now time.Time, x *Exchange, kind failure.Kind, message string) Decision {
 	x.phase = Ended
 	if x.ran != failure.RanNo && kind.Answer().Ran == failure.RanNo {
@@ -182,15 +183,15 @@
 	return Decision{GiveUp: refusal}
 }
 
-// whenToComeBack returns when a caller may find a back end of the exchange's service that takes
-// its request; 0 for the default.
+// retryAfter returns how long the caller should wait until a back end of the exchange's service
+// may accept its request; 0 for the default.
 func (c *Core) retryAfter(now time.Time, x *Exchange) time.Duration {
 	wait, all := c.earliestRetry(now, x)
 	switch {
 	case all:
 		return wait
 	case x.attempts > 0:
-		// One back end refused; another may take the request at once.
+		// One back end refused; another one may accept the request at once.
 		return refusalRetryAfter
 	default:
 		return min(wait, failure.PoolExhausted.Answer().RetryAfter)
--- a/internal/dispatch/fingerprint.go
+++ b/internal/dispatch/fingerprint.go
@@ -5,14 +5,14 @@
 	"strconv"
 )
 
-// Fingerprint stands for all requests with the same content, whatever their IDs.
+// Fingerprint identifies all requests with the same content, regardless of their IDs.
 type Fingerprint uint64
 
-// ParseFingerprint reads what String returns.
+// ParseFingerprint parses the form that String returns.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	value, err := strconv.ParseUint(text, 16, 64)
 	return Fingerprint(value), err
 }
 
-// String returns it as logs show it.
+// String returns the fingerprint in the form used in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Health is what a gateway believes of a back end from the answers it gets; no
-// probe is sent.
+// Health is the assumed health of a back end. It is derived from the answers to requests; no
+// probes are sent.
 type Health uint8
 
 // The values of Health.
 const (
-	// Healthy back ends are chosen as usual.
+	// Healthy back ends are chosen normally.
 	Healthy Health = iota
-	// OnTrial means that its ejection has ended: one request at a time that may
-	// be repeated finds out whether it is back.
+	// OnTrial back ends have been ejected until recently: one repeatable request at a time
+	// tests whether they work again.
 	OnTrial
-	// Silent back ends have let requests wait without any answer.
+	// Silent back ends have left requests waiting without any answer.
 	Silent
-	// Ejected back ends broke off, could not be reached, or failed much more
-	// often than their pool.
+	// Ejected back ends lost connections, could not be reached, or failed much more often
+	// than the rest of their pool.
 	Ejected
-	// Resting back ends have turned this gateway away and asked it to leave them alone.
+	// Resting back ends refused a request of this gateway with a Retry-After that hasn't passed.
 	Resting
 )
 
@@ -28,59 +28,62 @@
 func (h Health) String() string { return healthNames[h] }
 
 const (
-	// firstEjection and longestEjection bound the time without requests; it
-	// doubles with each failure in a row.
+	// baseEjectionTime and maxEjectionTime bound the duration of an ejection; it doubles with
+	// each consecutive failure.
 	baseEjectionTime = 500 * time.Millisecond
 	maxEjectionTime  = 4 * time.Second
-	// breaksToEject is the number of breaks in a row that eject. A connection
-	// that can't be made ejects at once.
+	// failuresToEject is the number of consecutive lost connections that eject a back end. A
+	// failed connection attempt ejects it at once.
 	failuresToEject = 2
-	// silenceLimit is how long requests may wait without any answer.
+	// silenceLimit is how long requests may wait without any answer from the back end.
 	silenceLimit = time.Second
 	// errorWeight is the weight of the newest outcome in the error rate.
 	errorWeight = 0.15
-	// errorsToEject is the least error rate that ejects, and errorsOverPool how
-	// many times its pool's rate it must be.
+	// A back end is ejected if its error rate exceeds both ejectionErrorRate and
+	// ejectionPoolFactor times the error rate of its pool.
 	ejectionErrorRate  = 0.35
 	ejectionPoolFactor = 2.0
-	// errorEjection is how long a failing back end is left alone.
+	// errorEjectionTime is how long a back end is ejected for its error rate.
 	errorEjectionTime = 2 * time.Second
-	// trialPatience is how long after an ejection only requests that may be
-	// repeated are tried.
+	// repeatableTrialTime is how long after the end of an ejection only repeatable requests
+	// are used as trials.
 	repeatableTrialTime = 2 * time.Second
 )
 
-// health is the state machine behind Health.
+// health is the state machine that determines Health.
 type health struct {
 	consecutiveFailures int
 	ejectedUntil        time.Time
-	onTrial             bool
-	trials              int
-	errorRate           float64
-	awaiting            int
-	quietSince          time.Time
-	// allowance is added to the time that counts as silence.
+	// onTrial is set until a trial succeeds, and trials counts the trials in flight.
+	onTrial   bool
+	trials    int
+	errorRate float64
+	// awaiting counts the requests that wait for an answer. quietSince is when the back end last
+	// answered, or when the first of these requests was sent.
+	awaiting   int
+	quietSince time.Time
+	// allowance is added to silenceLimit; see Core.SetLag.
 	allowance time.Duration
-	// disabled switches mechanisms off; see Disabled.
+	// disabled is the set of mechanisms that are switched off; see Disabled.
 	disabled Disabled
-	// displaced is set when another back end was met at its address: its incarnation has
-	// ended, whatever the list says.
+	// displaced is set when another back end was found at its address: the incarnation has
+	// ended, even if it is still listed.
 	displaced bool
-	// restUntil is until when it wants nothing.
+	// retryAt is when the back end's last Retry-After has passed.
 	retryAt time.Time
-	// connectsFailed is set while the last sign was a connection that could not be
-	// made.
+	// lastConnectFailed is set if the back end hasn't answered since a connection attempt failed.
 	lastConnectFailed bool
 }
 
-// reachable tells whether another back end may copy from this one: what it
-// answers to callers doesn't matter, only that it is there and doesn't want to be left alone.
+// reachable reports whether other back ends may copy from this one. Its error rate doesn't
+// matter, only that it accepts connections and hasn't asked for a pause.
 func (h *health) reachable(now time.Time) bool {
 	return !h.lastConnectFailed && !h.displaced && h.retryWait(now) == 0 && h.status(now) != Silent
 }
 
-// rest notes that it wants nothing for so long. Then one request at a time finds out whether
-// it takes work again: a crowd that has waited for the moment would make it rest once more.
+// setRetryAfter records that the back end wants no requests for the given time. After that
+// time it gets one request at a time, to test whether it accepts work again: if all waiting
+// requests arrived at that moment, it would ask for a pause again.
 func (h *health) setRetryAfter(now time.Time, wait time.Duration) {
 	if until := now.Add(wait); until.After(h.retryAt) {
 		h.retryAt = until
@@ -88,7 +91,7 @@
 	h.onTrial = true
 }
 
-// restLeft returns for how long it wants nothing; 0 for one that takes work.
+// retryWait returns how much of the back end's Retry-After is left; 0 if it accepts requests.
 func (h *health) retryWait(now time.Time) time.Duration { return max(0, h.retryAt.Sub(now)) }
 
 func (h *health) status(now time.Time) Health {
@@ -107,7 +110,7 @@
 	return Healthy
 }
 
-// usable tells whether a request may go to the back end while others would do.
+// usable reports whether a request may go to the back end while others are available.
 func (h *health) usable(now time.Time, mayRepeat bool) bool {
 	switch h.status(now) {
 	case Healthy:
@@ -119,7 +122,7 @@
 	}
 }
 
-// sent notes a request that waits for its answer.
+// sent records a request that now waits for its answer.
 func (h *health) sent(now time.Time) {
 	if h.awaiting == 0 {
 		h.quietSince = now
@@ -130,27 +133,27 @@
 	}
 }
 
-// settled notes the end of a wait, however it ended.
+// waitEnded records that a request no longer waits for its answer, for whatever reason.
 func (h *health) waitEnded() {
 	h.awaiting = max(h.awaiting-1, 0)
 	h.trials = max(h.trials-1, 0)
 }
 
-// answered notes an answer of the back end's own.
+// answered records an answer that came from the back end itself.
 func (h *health) answered(now time.Time) {
 	h.quietSince = now
 	h.consecutiveFailures = 0
 	h.lastConnectFailed = false
 }
 
-// good notes an answer that shows that the back end works.
+// succeeded records an answer that shows that the back end works.
 func (h *health) succeeded(now time.Time) {
 	h.answered(now)
 	h.onTrial = false
 	h.errorRate -= errorWeight * h.errorRate
 }
 
-// bad notes an answer that the back end failed or refused without need.
+// failed records an error answer, or a refusal although the back end had room.
 func (h *health) failed(now time.Time, poolRate float64) {
 	h.answered(now)
 	h.errorRate += errorWeight * (1 - h.errorRate)
@@ -160,7 +163,7 @@
 	}
 }
 
-// broke notes a connection that ended without an answer.
+// connectionLost records a connection that ended without an answer.
 func (h *health) connectionLost(now time.Time) {
 	h.consecutiveFailures++
 	if h.consecutiveFailures >= failuresToEject || h.onTrial {
@@ -168,7 +171,7 @@
 	}
 }
 
-// unreachable notes a connection that could not be made.
+// connectFailed records a failed connection attempt.
 func (h *health) connectFailed(now time.Time) {
 	h.consecutiveFailures++
 	h.lastConnectFailed = true
--- a/internal/dispatch/health_test.go
+++ b/internal/dispatch/health_test.go
@@ -21,14 +21,14 @@
 		}
 		if target == dead {
 			decision = core.NotConnected(now, x)
-			is.True(decision.Send.BackEnd.ID != dead) // nothing was sent: another at once
+			is.True(decision.Send.BackEnd.ID != dead) // nothing was sent, so another one is tried at once
 		}
 		core.Answered(now, x, -1)
 		core.Done(start, x)
 		return target == dead
 	}
 	attempts := 0
-	for range 2000 { // twenty seconds
+	for range 2000 { // 20 seconds
 		now = now.Add(10 * time.Millisecond)
 		if sentToDead() {
 			attempts++
@@ -62,7 +62,7 @@
 	one := fail(map[string]bool{"b01": true})
 	is.True(one["b01"] < one["b00"]/2)
 	all := fail(map[string]bool{"b00": true, "b01": true, "b02": true, "b03": true})
-	is.True(all["b01"] > 70) // none is better: nobody is left alone
+	is.True(all["b01"] > 70) // none is better, so none is ejected
 }
 
 func TestPathFailingEverywhereSpendsNoRetryBudget(t *testing.T) {
@@ -80,7 +80,7 @@
 	is.True(retries <= 2)
 }
 
-// When most of a pool breaks connections, the few that look well don't get all of
+// If most of a pool loses connections, the few members that seem healthy must not get all of
 // its load.
 func TestMostlyEjectedPoolIsUsedAsAWhole(t *testing.T) {
 	is := is.New(t)
@@ -98,11 +98,11 @@
 	is.True(sent["b09"] <= 10)
 	core.members["b00"].health.connectFailed(start)
 	_, decision := core.Begin(start, request(nonRepeatable(), "x"))
-	is.True(decision.Send.BackEnd.ID != "b00") // nobody answers there
+	is.True(decision.Send.BackEnd.ID != "b00") // it refuses connections
 }
 
-// A back end whose address belongs to another one by now is never back under its name: a
-// list that still has it, even for minutes, costs one attempt.
+// A back end whose address is used by another one doesn't return under its ID. A list that still
+// contains it, even for minutes, costs one attempt in all.
 func TestDisplacedBackEndIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(2, 6))
--- a/internal/dispatch/holders.go
+++ b/internal/dispatch/holders.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// rememberedParts bounds the memory for prompt parts.
+	// maxRememberedParts bounds the number of prompt parts whose holders are remembered.
 	maxRememberedParts = 16384
-	// holdersPerPart is how many back ends are remembered for a part.
+	// maxHoldersPerPart bounds the back ends remembered for a part.
 	maxHoldersPerPart = 8
-	// holdingTime is how long a back end is believed to keep a part unused.
+	// holdingTTL is how long a back end is assumed to hold a part that isn't used.
 	holdingTTL = time.Minute
-	// retellTime is how long a holding isn't told again while it is used. It is
-	// short against holdingTime, so that peers don't forget what is in use.
+	// republishInterval is the minimum time between two publications of a holding that is in
+	// use. It is short compared with holdingTTL, so that peers don't forget holdings in use.
 	republishInterval = 20 * time.Second
-	// leastTold is the length of a prompt, in tokens up to the end of its shared parts,
-	// from which holders are told. Shorter ones are read in the time that a copy of
-	// them takes to be set up; for them the order of members decides.
+	// minPublishedTokens is the length of a prompt, in tokens up to the end of its shared parts,
+	// from which its holders are published. Prefilling a shorter prompt takes no longer than
+	// setting up a copy; shorter prompts are placed by rendezvous order.
 	minPublishedTokens = 1024
-	// rememberedNews bounds the news that is kept for peers. A gateway that lags by
-	// more misses some, and learns it when it is told again.
+	// maxHoldingUpdates bounds the updates kept for peers. A gateway that lags further behind
+	// misses some, and learns of these holdings when they are published again.
 	maxHoldingUpdates = 4096
 )
 
@@ -33,36 +33,36 @@
 
 func keyOf(partID string) partKey { return partKey(xxhash.Sum64String(partID)) }
 
-// Holdings are prompt parts that a back end was seen to have read.
+// Holdings lists prompt parts that a back end was seen to have prefilled.
 type Holdings struct {
-	// BackEnd is the back end's ID, and Born when its life began that read them.
+	// BackEnd is the back end's ID, and Born the start time of the incarnation.
 	BackEnd string `cbor:"1,keyasint"`
 	Born    int64  `cbor:"4,keyasint,omitempty"`
-	// Parts are hashes of the parts' IDs, and Tokens the lengths of the prompts up to
-	// their ends, or 0 for beginnings that many prompts share.
+	// Parts are hashes of the parts' IDs. Tokens are the lengths of the prompts up to the end
+	// of each part, or 0 for prefixes that many prompts share.
 	Parts  []uint64 `cbor:"2,keyasint"`
 	Tokens []int    `cbor:"3,keyasint"`
 }
 
-// holder is a back end that read a part.
+// holder is a back end that prefilled a part.
 type holder struct {
 	backEnd catalog.Incarnation
 	tokens  int
 	usedAt  time.Time
-	// toldAt is when the holding last became news.
+	// publishedAt is when the holding was last published.
 	publishedAt time.Time
 }
 
-// holderMemory remembers which back ends read a prompt part, the latest first,
-// from what this gateway sent and what its peers tell. It is a guess that ages: the
-// part may have given way.
+// holderMemory remembers which back ends prefilled a prompt part, the most recent first, from
+// this gateway's own requests and from its peers' reports. Entries expire, since a back end
+// may have evicted the part from its cache.
 type holderMemory struct {
 	parts *lru.Cache[partKey, []holder]
-	// news are the latest holdings that peers may lack, in a ring; told counts all
-	// of them so far.
+	// updates is a ring buffer of the latest holdings that peers may lack; published is the
+	// number of all updates so far.
 	updates   [maxHoldingUpdates]holdingUpdate
 	published uint64
-	// held is the number of tokens that each back end is believed to hold.
+	// held is the number of tokens that each back end is assumed to hold.
 	held map[catalog.Incarnation]int
 }
 
@@ -76,13 +76,13 @@
 	h := &holderMemory{held: map[catalog.Incarnation]int{}}
 	parts, err := lru.NewWithEvict(maxRememberedParts, func(_ partKey, list []holder) { h.drop(list...) })
 	if err != nil {
-		panic(err) // the size is fixed and above 0
+		panic(err) // the size is constant and positive
 	}
 	h.parts = parts
 	return h
 }
 
-// drop takes holders off the count of what back ends hold.
+// drop subtracts holders from the tokens that back ends are assumed to hold.
 func (h *holderMemory) drop(list ...holder) {
 	for _, each := range list {
 		h.held[each.backEnd] -= each.tokens
@@ -92,9 +92,9 @@
 	}
 }
 
-// note takes a use of the part at the back end, seen here or told by a peer. What
-// was news here within retellTime isn't passed on again, so that news crosses each
-// link about once.
+// note records a use of the part at the back end, observed here or reported by a peer. What
+// was published here within republishInterval isn't passed on again, so that an update
+// crosses each link about once.
 func (h *holderMemory) note(now time.Time, part partKey, tokens int, backEnd catalog.Incarnation) {
 	known, _ := h.parts.Get(part)
 	used := holder{backEnd: backEnd, tokens: tokens, usedAt: now}
@@ -121,17 +121,17 @@
 	h.parts.Add(part, list)
 }
 
-// prefixTokens marks the holding of a beginning that many prompts share. Its length is part
-// of that of each of these.
+// prefixTokens marks the holding of a prefix that many prompts share. Its length is already
+// included in the length of each of these prompts.
 const prefixTokens = 0
 
-// notePrefix takes the back end as a holder of a beginning that many prompts share.
+// notePrefix records the back end as a holder of a prefix that many prompts share.
 func (h *holderMemory) notePrefix(now time.Time, part partKey, backEnd catalog.Incarnation) {
 	h.note(now, part, prefixTokens, backEnd)
 }
 
-// holding returns the back ends that are believed to keep the part, the latest
-// used first.
+// holdersOf returns the back ends that are assumed to hold the part, the most recently used
+// first.
 func (h *holderMemory) holdersOf(now time.Time, part partKey) []catalog.Incarnation {
 	known, _ := h.parts.Get(part)
 	var backEnds []catalog.Incarnation
@@ -143,8 +143,8 @@
 	return backEnds
 }
 
-// since returns at most so many news after the number, oldest first and grouped by
-// back end, and the number to go on from.
+// updatesSince returns at most limit updates after the cursor, oldest first and grouped by back
+// end, and the next cursor.
 func (h *holderMemory) updatesSince(cursor uint64, limit int) ([]Holdings, uint64) {
 	if h.published > maxHoldingUpdates {
 		cursor = max(cursor, h.published-maxHoldingUpdates)
@@ -166,8 +166,8 @@
 	return list, end
 }
 
-// HoldingsSince returns at most so many holdings that peers may lack after the
-// number, and the number to go on from. The first number is 0.
+// HoldingsSince returns at most limit holdings that were published after the cursor, and the
+// next cursor. The first cursor is 0.
 func (c *Core) HoldingsSince(cursor uint64, limit int) ([]Holdings, uint64) {
 	if c.config.Disabled[ShareHoldings] {
 		return nil, cursor
@@ -175,7 +175,7 @@
 	return c.holders.updatesSince(cursor, limit)
 }
 
-// PeerHoldings takes what a peer told.
+// MergePeerHoldings merges the holdings that a peer reported.
 func (c *Core) MergePeerHoldings(now time.Time, list []Holdings) {
 	if c.config.Disabled[ShareHoldings] {
 		return
@@ -184,7 +184,7 @@
 		for i, part := range each.Parts[:min(len(each.Parts), len(each.Tokens))] {
 			key, tokens := partKey(part), max(0, each.Tokens[i])
 			if tokens == prefixTokens && c.usableHolder(now, key, nil) != nil {
-				continue // one is enough, so its news ends here
+				continue // one holder is enough, so this update isn't passed on
 			}
 			c.holders.note(now, key, tokens, catalog.Incarnation{ID: each.BackEnd, Born: each.Born})
 		}
--- a/internal/dispatch/holders_test.go
+++ b/internal/dispatch/holders_test.go
@@ -11,7 +11,7 @@
 	"github.com/harriernotch/harriernotch/internal/routing"
 )
 
-// rendezvousOrder returns the IDs of the members in the order for the part.
+// rendezvousOrder returns the members' IDs in rendezvous order for the part.
 func rendezvousOrder(core *Core, part string) []string {
 	var ids []string
 	for _, m := range core.pools["s"].members {
@@ -20,12 +20,12 @@
 	return routing.Rank(part, ids)
 }
 
-// chat returns a request whose prompt has one shared part.
+// chatRequest returns a request whose prompt has one shared part.
 func chatRequest(id, part string) Request {
 	return request(repeatable(1), id, Part{ID: part, Tokens: 9000}, Part{ID: "own" + id, Tokens: 100})
 }
 
-// serve plays a chat to its end and returns its back end.
+// serveChat runs a chat request to completion and returns its back end.
 func serveChat(now time.Time, core *Core, id, part string) string {
 	x, decision := core.Begin(now, chatRequest(id, part))
 	core.Answered(now, x, -1)
@@ -33,7 +33,7 @@
 	return decision.Send.BackEnd.ID
 }
 
-// tell passes on what the first gateway knows until there is no more.
+// gossipHoldings sends all published holdings after the cursor to another core.
 func gossipHoldings(now time.Time, from, to *Core, cursor uint64) uint64 {
 	for {
 		list, next := from.HoldingsSince(cursor, 7)
@@ -45,8 +45,8 @@
 	}
 }
 
-// A member that joins takes no part from a holder that has room, whichever gateway
-// the caller meets.
+// A member that joins must not take over parts from holders that have room, regardless of which
+// gateway gets the request.
 func TestPartsStayWithHoldersWhenMembersJoin(t *testing.T) {
 	is := is.New(t)
 	first, second := newCore(backEnds(6, 64)), newCore(backEnds(6, 64))
@@ -65,8 +65,8 @@
 	}
 }
 
-// What a holder has no room for goes to another one that holds the part before it
-// goes to one that doesn't.
+// A request for which the first holder has no room goes to another holder of the part before it
+// goes to a member that doesn't hold it.
 func TestOverflowPrefersOtherHolders(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(9, 64))
@@ -87,13 +87,13 @@
 	is.Equal(gossipHoldings(start, second, first, 0), uint64(1)) // passed on once
 	is.Equal(gossipHoldings(start, first, second, cursor), cursor)
 	serveChat(start.Add(time.Second), first, "b", "part")
-	is.Equal(gossipHoldings(start, first, second, cursor), cursor) // known of late
+	is.Equal(gossipHoldings(start, first, second, cursor), cursor) // published recently
 	serveChat(start.Add(republishInterval), first, "c", "part")
 	is.Equal(gossipHoldings(start, first, second, cursor), cursor+1)
 }
 
-// A message is bounded, whatever the traffic, and a peer that lags by more than the
-// memory goes on with what is left.
+// The size of a message is bounded regardless of the traffic, and a peer that lags behind the
+// ring buffer continues with what is left.
 func TestPublishedHoldingsAreBounded(t *testing.T) {
 	is := is.New(t)
 	const limit = 100
@@ -108,8 +108,7 @@
 	is.Equal(cursor, uint64(500+limit))
 }
 
-// Where memory is scarce, parts spread over the members more evenly than by the
-// order alone.
+// If memory is scarce, parts are distributed more evenly than by rendezvous order alone.
 func TestScarceMemoryIsBalanced(t *testing.T) {
 	is := is.New(t)
 	fullest := func(cacheTokens int) int {
@@ -124,11 +123,11 @@
 		}
 		return most
 	}
-	is.True(fullest(100_000) <= 13*9000) // 10 parts a member on average
+	is.True(fullest(100_000) <= 13*9000) // 10 parts per member on average
 	is.True(fullest(100_000_000) > 13*9000)
 }
 
-// Short prompts aren't worth the bytes.
+// Prefilling a short prompt costs no more than copying it, so its holders aren't published.
 func TestShortPromptsAreNotPublished(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(6, 64))
@@ -138,7 +137,7 @@
 	is.Equal(core.holders.holdersOf(start, partKey(1)), []catalog.Incarnation{{ID: "b00"}})
 }
 
-// What is counted as held is what is remembered.
+// The tokens counted as held must always match the remembered holders.
 func TestHeldTokensMatchRememberedHolders(t *testing.T) {
 	is := is.New(t)
 	h := newHolderMemory()
--- a/internal/dispatch/lives.go
+++ b/internal/dispatch/incarnation_log.go
@@ -8,23 +8,23 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// mostLives bounds the lives of which something is remembered: as many as a zone of a thousand
-// back ends may lose at once.
+// maxLoggedIncarnations bounds an incarnationLog. It covers the loss of a whole zone of a
+// thousand back ends at once.
 const maxLoggedIncarnations = 1024
 
-// lifeKey stands for a life of a back end at an address.
+// addressedIncarnation identifies an incarnation of a back end at one address.
 type addressedIncarnation uint32
 
 func addressedIncarnationOf(backEnd catalog.BackEnd) addressedIncarnation {
 	return addressedIncarnation(xxhash.Sum64String(backEnd.ID + "@" + strconv.FormatInt(backEnd.Born, 10) + "@" + backEnd.Address))
 }
 
-// lifeSet is lives of back ends of which the same is known, whoever found out. It is told to
-// peers by number, as a log.
+// incarnationLog is a bounded log of incarnations that share a property, such as having ended,
+// regardless of which gateway observed it. Peers read it by sequence number.
 type incarnationLog struct {
 	known map[addressedIncarnation]bool
-	// order is that in which they were heard of, and forgotten counts those that had to give
-	// way.
+	// order lists the incarnations in the order in which they were added, and evicted counts
+	// those that were removed to keep the log bounded.
 	order   []addressedIncarnation
 	evicted uint64
 }
@@ -33,7 +33,7 @@
 	return incarnationLog{known: map[addressedIncarnation]bool{}}
 }
 
-// add notes a life, and tells whether it is news.
+// add adds an incarnation, and reports whether it is new.
 func (l *incarnationLog) add(incarnation addressedIncarnation) bool {
 	if l.known[incarnation] {
 		return false
@@ -48,15 +48,15 @@
 	return true
 }
 
-// holds tells whether the life that a back end lives is among them.
+// contains reports whether the back end's current incarnation and address are in the log.
 func (l *incarnationLog) contains(backEnd catalog.BackEnd) bool {
 	return len(l.known) > 0 && l.known[addressedIncarnationOf(backEnd)]
 }
 
-// number is how many were heard of so far.
+// sequence returns the number of incarnations added so far.
 func (l *incarnationLog) sequence() uint64 { return l.evicted + uint64(len(l.order)) }
 
-// since returns those that a peer may lack which was told so many, and the number to go on from.
+// since returns the incarnations added after the cursor, and the next cursor.
 func (l *incarnationLog) since(cursor uint64) (incarnations []uint32, next uint64) {
 	for _, each := range l.order[min(max(cursor, l.evicted)-l.evicted, uint64(len(l.order))):] {
 		incarnations = append(incarnations, uint32(each))
@@ -64,7 +64,7 @@
 	return incarnations, l.sequence()
 }
 
-// take adds what a peer told, and tells whether any is news.
+// merge adds the incarnations that a peer reported, and reports whether any of them is new.
 func (l *incarnationLog) merge(incarnations []uint32) (added bool) {
 	for _, each := range incarnations {
 		added = l.add(addressedIncarnation(each)) || added
--- a/internal/dispatch/incarnation_test.go
+++ b/internal/dispatch/incarnation_test.go
@@ -10,7 +10,7 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// bornAt returns the back ends with the start of one of them replaced.
+// withStartTime returns a copy of the list in which one back end has another start time.
 func withStartTime(list []catalog.BackEnd, number int, born int64) []catalog.BackEnd {
 	changed := make([]catalog.BackEnd, len(list))
 	copy(changed, list)
@@ -18,7 +18,7 @@
 	return changed
 }
 
-// A back end that is back under its ID holds nothing of what its last life read.
+// A back end that returns under its ID holds nothing that its previous incarnation prefilled.
 func TestRestartedBackEndHoldsNoParts(t *testing.T) {
 	is := is.New(t)
 	list := withStartTime(backEnds(6, 64), 0, 1000)
@@ -30,12 +30,12 @@
 	core.SetBackEnds(start, withStartTime(list, 0, 2000))
 	is.True(core.usableHolder(start, keyOf(part), nil) == nil)
 	is.Equal(core.memoryShare(core.members["b00"]), 0.0)
-	core.Answered(start, x, -1) // an answer of the life before says nothing of this one
+	core.Answered(start, x, -1) // an answer of the previous incarnation doesn't affect this one
 	core.Done(start, x)
 	is.Equal(core.members["b00"].own, 0)
 }
 
-// partHomedAt returns a prompt part whose first back end in order is the one named.
+// partRankedFirstAt returns a prompt part for which the back end ranks first.
 func partRankedFirstAt(core *Core, id string) string {
 	for part := 'a'; ; part++ {
 		if rendezvousOrder(core, string(part))[0] == id {
@@ -44,12 +44,12 @@
 	}
 }
 
-// A peer's word on the life before doesn't speak of this one, in whichever order a gateway
-// hears of both, and software that tells no start is taken at its word.
+// A peer's holdings of one incarnation must not be attributed to another one, in whichever order
+// a gateway learns of the two. Holdings without a start time, from older software, are accepted.
 func TestHoldingsOfAnotherIncarnationAreIgnored(t *testing.T) {
 	is := is.New(t)
 	list := backEnds(6, 64)
-	older, newer := withStartTime(list, 0, 2000), withStartTime(list, 0, 1000) // its clock stepped back
+	older, newer := withStartTime(list, 0, 2000), withStartTime(list, 0, 1000) // the clock of the newer one stepped back
 	holdingsOf := func(born int64) []Holdings {
 		return []Holdings{{BackEnd: "b00", Born: born, Parts: []uint64{7}, Tokens: []int{9000}}}
 	}
@@ -60,7 +60,7 @@
 	is.Equal(core.usableHolder(start, 7, nil).backEnd.ID, "b00")
 
 	core = newCore(older)
-	core.MergePeerHoldings(start, holdingsOf(1000)) // heard before this gateway knows of the start
+	core.MergePeerHoldings(start, holdingsOf(1000)) // received before this gateway learns of the restart
 	is.True(core.usableHolder(start, 7, nil) == nil)
 	core.SetBackEnds(start, newer)
 	is.Equal(core.usableHolder(start, 7, nil).backEnd.ID, "b00")
@@ -70,7 +70,7 @@
 	is.Equal(core.usableHolder(start, 7, nil).backEnd.ID, "b00")
 }
 
-// What is believed of a back end's health, load and warm-up is that of one life.
+// Health, load and warm-up belong to one incarnation.
 func TestRestartUnderSameIDResetsState(t *testing.T) {
 	is := is.New(t)
 	list := withStartTime(backEnds(2, 6), 0, 1000)
@@ -85,12 +85,12 @@
 	is.Equal(now.others, othersLoad{})
 	is.Equal(now.firstSeen, start)
 
-	core.SetBackEnds(start, backEnds(2, 6)) // told by a gateway that doesn't know of starts
+	core.SetBackEnds(start, backEnds(2, 6)) // an entry from a gateway that doesn't know start times
 	is.True(core.members["b00"] == now)
 }
 
-// A back end that crashed may be back under its ID before its entry says so, and cold: until
-// then all gateways together keep its limit.
+// A back end that crashed may return, cold, under its ID before its entry says so. Until then all
+// gateways together must keep within its warm-up limit.
 func TestCrashedBackEndIsLimitedWhenItReturns(t *testing.T) {
 	is := is.New(t)
 	sent := 0
@@ -105,7 +105,7 @@
 			}
 		}
 		core.SetFleet(start.Add(-time.Minute), fleet)
-		for i := range 20 { // back ends that crashed long ago, and are gone
+		for i := range 20 { // back ends that crashed long ago and are gone
 			core.crashes.connectionLost(start, Fingerprint(100+i), incarnationKey(i))
 		}
 		part := partRankedFirstAt(core, "b00")
@@ -114,7 +114,7 @@
 		second, decision := core.Begin(start, crashingRequest(part))
 		is.Equal(decision.Send.BackEnd.ID, "b00")
 		core.NotConnected(start, second)
-		for i := range 100 { // from when it is tried again
+		for i := range 100 { // after its ejection has ended
 			now := start.Add(4*time.Second + time.Duration(i)*5*time.Millisecond)
 			request := crashingRequest(part)
 			request.ID = fmt.Sprint(i)
@@ -130,14 +130,14 @@
 	is.True(sent <= 8)
 }
 
-// crashing returns a request for the part that may be under way at a crash.
+// crashingRequest returns a request for the part whose content may be suspected after a crash.
 func crashingRequest(part string) Request {
 	made := chatRequest("crashing", part)
 	made.Fingerprints = func() []Fingerprint { return []Fingerprint{1} }
 	return made
 }
 
-// A back end that lapses from the list and comes back as another life isn't the one that lapsed.
+// A back end that lapses and returns as another incarnation doesn't inherit the lapsed state.
 func TestLapsedBackEndReturnsAsNewIncarnation(t *testing.T) {
 	is := is.New(t)
 	list := withStartTime(backEnds(4, 6), 0, 1000)
--- a/internal/dispatch/lapse.go
+++ b/internal/dispatch/lapse.go
@@ -8,26 +8,26 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// fewestLapsed is the number of lapsed members below which all count as gone: one
-// that vanishes by itself tells nothing of the store.
+// minLapsed is the number of lapsed members below which all of them are considered gone. A
+// single member that disappears says nothing about the state of the store.
 const minLapsed = 2
 
-// lapsedMember is a back end that vanished from the list without having said that
-// it leaves. A store that comes back from an outage may drop the entries of back
-// ends whose heartbeats it could not take, and list them again with the next
-// heartbeat, so for a while it may still be there. It is used only while several
-// of its pool have lapsed, and at least as many as are left, since a pool that
-// shrinks in the usual way loses a few at a time. Sending to one that has truly
-// gone is safe: every send names the incarnation it is meant for, and another one
-// refuses it unrun.
+// lapsedMember is a back end that disappeared from the list without having announced that
+// it leaves. A store that recovers from an outage may drop the entries of back ends whose
+// heartbeats it could not accept, and list them again with the next heartbeat. So for a
+// while the back end may still be running. It is used only while several members of its pool
+// have lapsed, and at least as many as remain, because a pool that shrinks normally loses a
+// few members at a time. Sending to a lapsed member that is really gone is safe: every
+// request names the incarnation that it is meant for, and any other incarnation refuses it
+// without running it.
 type lapsedMember struct {
 	*member
-	// until is when it is taken for gone.
+	// until is when the member is considered gone.
 	until time.Time
 }
 
-// lapse notes the members that the new list lacks, and drops from memory those
-// that are listed again or whose time has passed.
+// lapse records the members that the new list lacks, and forgets lapsed members that are
+// listed again or whose time has passed.
 func (c *Core) lapse(now time.Time, listed map[string]*member) {
 	for id, lapsed := range c.lapsed {
 		if listed[id] != nil || !now.Before(lapsed.until) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// remembered returns what is believed of a back end that is listed again, or nil: one that
-// has started again under its ID is another.
+// knownMember returns the state kept for a back end that is listed again, or nil. A back end
+// that has restarted under the same ID is a new one.
 func (c *Core) knownMember(of catalog.Incarnation) *member {
 	m := c.members[of.ID]
 	if m == nil {
@@ -57,8 +57,8 @@
 	return m
 }
 
-// present returns a back end that is listed, or lapsed and not yet taken for gone,
-// or nil.
+// presentMember returns a back end that is listed, or that has lapsed and isn't considered
+// gone yet, or nil.
 func (c *Core) presentMember(now time.Time, id string) *member {
 	if m := c.members[id]; m != nil {
 		return m
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// poolOf returns a service's members by ID: the listed ones, and the lapsed ones
-// too while those are as many as the listed ones that stay.
+// poolMembers returns a service's members ordered by ID: the listed ones, and also the lapsed
+// ones while there are at least as many of them as listed members that aren't leaving.
 func (c *Core) poolMembers(now time.Time, service string) []*member {
 	var listed []*member
 	if pool := c.pools[service]; pool != nil {
--- a/internal/dispatch/lapse_test.go
+++ b/internal/dispatch/lapse_test.go
@@ -10,16 +10,16 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// TestLapsedPoolIsUsedForAWhile: a store that comes back from an outage drops all
-// entries at once and lists them again with the next heartbeats.
+// A store that recovers from an outage drops all entries at once and lists them again with the
+// next heartbeats.
 func TestLapsedPoolIsUsedUntilLapseTime(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(4, 6))
 	core.SetBackEnds(start, nil)
 	_, decision := core.Begin(start.Add(time.Second), request(nonRepeatable(), "a"))
-	is.True(decision.Send != nil) // may still be there
+	is.True(decision.Send != nil) // may still be running
 	_, decision = core.Begin(start.Add(core.config.LapseTime), request(nonRepeatable(), "b"))
-	is.Equal(decision.GiveUp.Kind, failure.PoolExhausted) // taken for gone
+	is.Equal(decision.GiveUp.Kind, failure.PoolExhausted) // considered gone
 }
 
 func TestRelistedMemberKeepsItsLoad(t *testing.T) {
@@ -27,7 +27,7 @@
 	core := newCore(backEnds(2, 6))
 	_, sent := core.Begin(start, request(nonRepeatable(), "a"))
 	core.SetBackEnds(start, nil)
-	is.Equal(core.Loads(), []Load{{BackEnd: sent.Send.BackEnd.ID, Requests: 1}}) // peers still hear of it
+	is.Equal(core.Loads(), []Load{{BackEnd: sent.Send.BackEnd.ID, Requests: 1}}) // peers still get its load
 	core.SetBackEnds(start, backEnds(2, 6))
 	is.Equal(core.Loads(), []Load{{BackEnd: sent.Send.BackEnd.ID, Requests: 1}})
 }
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestLeavingMemberNeverLapses: one that has said that it leaves gets nothing once
-// it has vanished, however short its pool.
+// A member that announced that it is leaving gets nothing after it has disappeared from the list,
+// even if its pool has no other member.
 func TestLeavingMemberDoesNotLapse(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(2, 6))
@@ -55,8 +55,7 @@
 	is.Equal(decision.GiveUp.Kind, failure.PoolExhausted)
 }
 
-// TestGoneMemberIsNoSourceOfCopies: what a lapsed member has read is copied from it
-// only while it may still be there.
+// Parts are copied from a lapsed member only as long as it may still be running.
 func TestPartsAreNotCopiedFromGoneMember(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(4, 64))
@@ -76,7 +75,7 @@
 	is.True(later.Send.FetchFrom != first.Send.BackEnd.Address)
 }
 
-// answers lets a request with the parts be answered, and returns the decision on it.
+// serveRequest runs a request with the parts to completion, and returns its first decision.
 func serveRequest(c *Core, id string, parts []Part) Decision {
 	x, decision := c.Begin(start, request(repeatable(2), id, parts...))
 	c.Answered(start, x, -1)
--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -10,8 +10,8 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// The load of every back end stays within the bound that the operators allow,
-// though all requests share one prompt part.
+// The load of every back end stays within the operators' bound even if all requests share one
+// prompt part.
 func TestLoadStaysWithinBound(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(10, 64))
@@ -41,8 +41,8 @@
 	is.Equal(core.estimate(start, core.members["b01"]), 1.0)
 }
 
-// For the bound a peer is taken to send where this gateway sends, as many as it does,
-// as far as the demand for the member explains them, until it tells.
+// For the bound, a peer is assumed to have sent as many requests to a member since its last report
+// as this gateway has, as far as the demand for the member explains them.
 func TestUnreportedPeerLoadIsExtrapolated(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(1, 64))
@@ -50,7 +50,7 @@
 	core.SetPeerLoads(start, "peer", nil)
 	m := core.members["b00"]
 	core.Begin(start, chatRequest("alone", "part"))
-	is.Equal(core.pessimisticEstimate(start, m), 1.0) // no time for the peer to do the same
+	is.Equal(core.pessimisticEstimate(start, m), 1.0) // the peer had no time to do the same
 	now := start
 	for i := range 20 {
 		now = now.Add(10 * time.Millisecond)
@@ -59,13 +59,13 @@
 	is.Equal(core.estimate(now, m), 21.0)
 	demand := burstFactor * m.demand.perSecond(now) * 0.2
 	is.Equal(core.pessimisticEstimate(now, m), 21+min(21, demand))
-	is.True(demand > 10) // twenty in 200 ms are seen as lasting
+	is.True(demand > 10) // 20 requests in 200 ms are taken for lasting demand
 	core.SetPeerLoads(now, "peer", nil)
-	is.Equal(core.pessimisticEstimate(now, m), 21.0) // it has told since
+	is.Equal(core.pessimisticEstimate(now, m), 21.0) // it has reported since
 }
 
-// A clump of requests at one gateway isn't refused for what its peers might have
-// sent: there is room for it.
+// A burst of requests at one gateway must not be refused for what its peers might have sent while
+// there is room.
 func TestBurstIsNotRefusedWhileThereIsRoom(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(2, 6))
@@ -106,7 +106,7 @@
 	}
 }
 
-// In a full pool the least urgent are refused while the most urgent find room.
+// In a full pool the least urgent requests are refused while the most urgent find room.
 func TestLeastUrgentRequestsAreRefusedFirst(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(2, 10))
@@ -120,14 +120,14 @@
 	for send(4) {
 		taken++
 	}
-	is.True(taken >= 20) // not before all places are taken
+	is.True(taken >= 20) // not before all slots are taken
 	is.True(!send(4))
 	is.True(send(2))
 	is.True(send(0))
 }
 
-// A gateway of a large fleet that has just started knows its own requests alone. What the
-// others may have is guessed for the bound, but nothing is refused on a guess.
+// A gateway of a large fleet that has just started knows only its own requests. The others' loads
+// are estimated for the bound, but no request is refused because of an estimate.
 func TestNothingIsRefusedOnEstimatedLoads(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(6, 6))
--- a/internal/dispatch/member.go
+++ b/internal/dispatch/member.go
@@ -8,45 +8,47 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// member is what the gateway knows of one back end.
+// member is the state of one back end as this gateway sees it.
 type member struct {
 	backEnd catalog.BackEnd
-	// listed is set once backEnd was taken from a list.
+	// listed is set once backEnd has been taken from a list.
 	listed bool
-	// hash is that of its ID, and key stands for it in counts.
+	// hash is the hash of the back end's ID, and key identifies it in counts.
 	hash uint64
 	key  uint32
-	// others is what the other gateways have at it by the last totals.
+	// others is the load of all other gateways at the back end, according to the last totals.
 	others othersLoad
-	// ended counts this gateway's requests that ended since it last told its counts, and
-	// took is the time there of those without prompts.
+	// ended counts this gateway's requests that ended since Counts was last called, and
+	// residenceSum is the total time that those without prompts spent there.
 	ended        int
 	residenceSum time.Duration
-	// endedPerSecond is the mean rate at which all gateways' requests end there.
+	// endedPerSecond is the mean rate at which the requests of all gateways end there.
 	endedPerSecond float64
 	residenceTime  residenceTime
-	// since is when this gateway first heard of it.
+	// firstSeen is when this gateway first learned of the back end.
 	firstSeen time.Time
-	// own counts this gateway's requests under way.
+	// own counts this gateway's requests in flight at the back end.
 	own    int
 	health health
 	demand demand
-	// noted is the health that was last told.
+	// loggedHealth is the health that was last recorded as a change.
 	loggedHealth Health
-	// reported is the load that the back end told last, reportedAt when, and
-	// reportedOwn this gateway's share in it.
+	// reported is the load that the back end last reported, reportedAt the time of that
+	// report, and reportedOwn this gateway's share of that load.
 	reported    int
 	reportedOwn int
 	reportedAt  time.Time
-	// evacuated is set while an operator wants nothing new to be sent to its zone.
+	// evacuated is set while an operator's evacuation keeps new requests from its zone.
 	evacuated bool
-	// coldUntil is when it is warm, as far as is known, and warmUpSends are the times of
-	// this gateway's last requests to it before.
+	// coldUntil is when the warm-up ends, as far as is known, and warmUpSends are the times
+	// of this gateway's last requests to the back end during the warm-up.
 	coldUntil   time.Time
 	warmUpSends []time.Time
-	// mayStartAgain is set from its crash until it answers, from when it is cold.
+	// mayHaveRestarted is set from the back end's presumed crash until its next answer, which
+	// begins its warm-up.
 	mayHaveRestarted bool
-	// drawn is the outcome of the draw among so many gateways of a version of the list.
+	// selected caches whether this gateway is among the selectionCount gateways selected for
+	// the back end, for version selectionVersion of the list of gateways.
 	selected         bool
 	selectionCount   int
 	selectionVersion int
@@ -56,18 +58,18 @@
 	return &member{firstSeen: now, hash: xxhash.Sum64String(id), key: CountKey(id)}
 }
 
-// report takes the load that came with an answer.
+// report records the load that the back end reported with an answer.
 func (m *member) report(now time.Time, load int) {
 	m.reported = load
 	m.reportedOwn = m.own
 	m.reportedAt = now
 }
 
-// freshReport is the age to which a reported load counts.
+// maxReportAge is the age up to which a load reported by a back end is used.
 const maxReportAge = time.Second
 
-// reportedEstimate returns the load by the last report and this gateway's own
-// requests since; ok is false when the report is too old.
+// reportedEstimate returns the load of the last report, corrected by the change of this
+// gateway's own load since; ok is false if the report is too old.
 func (m *member) reportedEstimate(now time.Time) (load float64, ok bool) {
 	if m.reportedAt.IsZero() || now.Sub(m.reportedAt) > maxReportAge {
 		return 0, false
@@ -75,16 +77,16 @@
 	return max(float64(m.reported+m.own-m.reportedOwn), float64(m.own)), true
 }
 
-// peerLoads holds what the other gateways told of their requests under way.
+// peerLoads holds the requests in flight that the other gateways reported.
 type peerLoads struct {
 	byPeer map[string]peerLoad
-	// interval is the mean time between two words of the same peer.
+	// interval is the mean time between two reports of the same peer.
 	interval time.Duration
 }
 
 type peerLoad struct {
 	at time.Time
-	// loads is what the peer told, and own this gateway's loads at that moment.
+	// loads is what the peer reported, and own this gateway's loads at that moment.
 	loads map[string]int
 	own   map[string]int
 }
@@ -94,14 +96,14 @@
 }
 
 const (
-	// firstInterval is taken for the interval of news before any was heard: the
-	// shortest that peers keep.
+	// initialInterval is assumed for the interval of updates before any has arrived. It
+	// is the shortest interval at which peers send them.
 	initialInterval = 200 * time.Millisecond
-	// intervalWeight is the weight of the newest interval in the mean.
+	// intervalWeight is the weight of the newest interval in the moving average.
 	intervalWeight = 0.1
 )
 
-// freshPeer is the age to which a peer's loads count.
+// maxPeerLoadAge is the age up to which a peer's loads are used.
 const maxPeerLoadAge = 1500 * time.Millisecond
 
 func (p *peerLoads) set(now time.Time, peer string, loads, own []Load) {
@@ -111,7 +113,7 @@
 	p.byPeer[peer] = peerLoad{at: now, loads: byBackEnd(loads), own: byBackEnd(own)}
 }
 
-// oldest returns the age of the oldest loads that still count.
+// oldestAge returns the age of the oldest loads that are still in use.
 func (p peerLoads) oldestAge(now time.Time) time.Duration {
 	var oldest time.Duration
 	for _, peer := range p.byPeer {
@@ -130,17 +132,16 @@
 	return result
 }
 
-// clumpAllowance is how many times as much as its demand on average a gateway may send
-// to a member in the short time since a peer's word. Higher values keep further from
-// the bound, and send more chats away from their holders for a clump of requests at
-// one gateway that the others don't see.
+// burstFactor limits how many requests a peer is assumed to have sent to a member since its
+// last report, as a multiple of the member's mean demand. Higher values stay further below
+// the bound, and send more chats away from their holders during a burst at one gateway
+// that the other gateways don't see.
 const burstFactor = 3
 
-// sum returns the requests that the peers heard of late told of, how many more
-// they may have sent since, and how many peers these are. All gateways see the
-// same prompt parts asked for and choose alike, so each peer is taken to have sent
-// since its word as many more as this gateway did, as far as the demand for the member
-// explains them.
+// sum returns the number of requests that peers recently reported, an estimate of those that
+// they have sent since, and the number of these peers. All gateways see requests for the same
+// prompt parts and choose alike. So each peer is assumed to have sent as many requests since
+// its report as this gateway did, limited by the demand for the member.
 func (p peerLoads) sum(now time.Time, m *member) (reported int, unreported float64, peers int) {
 	id := m.backEnd.ID
 	demand := burstFactor * m.demand.perSecond(now)
@@ -155,10 +156,9 @@
 	return reported, unreported, peers
 }
 
-// estimate returns the load of all gateways at a back end: by the totals, where they
-// are fresh; else by what the other gateways told, where every one was heard of late;
-// else by the back end's own report, or by the counts at hand, scaled to the number of
-// gateways.
+// estimate returns the load of all gateways at a back end. It uses the totals if they are
+// recent; else the peers' reports if every peer reported recently; else the back end's own
+// report; else the known counts, scaled up to the number of gateways.
 func (c *Core) estimate(now time.Time, m *member) float64 {
 	if c.totalsAreFresh(now) {
 		return float64(m.own) + m.others.requests
@@ -167,8 +167,8 @@
 	return c.extrapolate(now, m, float64(m.own+reported), peers)
 }
 
-// knownLoad returns the part of the load at a back end that this gateway knows of,
-// without a guess at gateways that it didn't hear of.
+// knownLoad returns the part of the load at a back end that is known from reports, without
+// an estimate for gateways that haven't reported.
 func (c *Core) knownLoad(now time.Time, m *member) float64 {
 	if c.totalsAreFresh(now) {
 		return float64(m.own) + m.others.requests
@@ -178,9 +178,9 @@
 	return max(float64(m.own+peerReported), reported)
 }
 
-// cautiousEstimate is estimate with what the peers may have sent since their last
-// word: else all gateways would fill the same room at once. It is too high where
-// requests come in clumps, so nothing is refused for it.
+// pessimisticEstimate is estimate plus the requests that peers may have sent since their last
+// reports. Without these, all gateways would fill the same free capacity at once. It is too
+// high when requests come in bursts, so no request is refused because of it.
 func (c *Core) pessimisticEstimate(now time.Time, m *member) float64 {
 	if c.totalsAreFresh(now) {
 		return float64(m.own) + m.others.requests
@@ -192,7 +192,7 @@
 	return c.extrapolate(now, m, float64(m.own+reported)+unreported, peers)
 }
 
-// complete makes up for gateways that weren't heard of.
+// extrapolate completes a load for gateways that haven't reported.
 func (c *Core) extrapolate(now time.Time, m *member, counted float64, peers int) float64 {
 	if peers >= c.gateways-1 {
 		return counted
--- a/internal/dispatch/notice.go
+++ b/internal/dispatch/notice.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// Notice is what a back end's answer says of the back end itself, whatever becomes of the
-// answer.
+// Notice is what a back end's answer says about the back end itself, independent of the
+// request that was answered.
 type Notice struct {
-	// Leaving is true when it wants no new work any more. That is true for all gateways, and
-	// until its life ends: a platform's store that is away or lists it as ready says nothing
-	// against it.
+	// Leaving is true if the back end wants no new requests. It applies to all gateways and
+	// until the incarnation ends: a store that is unavailable, or still lists the back end as
+	// ready, doesn't revoke it.
 	Leaving bool
-	// Rest is for how long it wants nothing from this gateway, which it has just turned away; 0
-	// for one that doesn't say. Other gateways aren't bound by it: each is told by itself.
+	// RetryAfter is how long the back end wants no requests from this gateway, which it has just
+	// refused; 0 if it didn't say. It doesn't apply to other gateways: the back end tells each
+	// gateway separately.
 	RetryAfter time.Duration
 }
 
-// Heed takes the notice of the answer to the exchange's attempt, and tells whether it is news.
+// ApplyNotice applies the notice in the answer to the current attempt, and reports whether it
+// changed anything.
 func (c *Core) ApplyNotice(now time.Time, x *Exchange, notice Notice) (changed bool) {
 	m := x.current
 	if m == nil || c.config.Disabled[RespectNotices] {
@@ -31,9 +33,9 @@
 	return changed
 }
 
-// firstRestEnds returns how long it takes until the first of the members may be asked again that
-// want to be left alone and could take the exchange's request; 0 for none. all is set where no
-// other member could take it.
+// earliestRetry returns the shortest time until a resting member that could take the
+// exchange's request may be asked again; 0 if no such member rests. all is set if no other
+// member could take the request.
 func (c *Core) earliestRetry(now time.Time, x *Exchange) (wait time.Duration, all bool) {
 	all = true
 	for _, m := range c.poolMembers(now, x.service) {
@@ -50,14 +52,14 @@
 	return wait, all && wait > 0
 }
 
-// LeavingSince returns the lives known from answers to be leaving that a peer may lack which was
-// told so many, and the number to go on from.
+// LeavingSince returns the incarnations that announced in answers that they are leaving and
+// were recorded after the cursor, and the next cursor.
 func (c *Core) LeavingSince(cursor uint64) (incarnations []uint32, next uint64) {
 	return c.leaving.since(cursor)
 }
 
-// TakeLeaving takes the lives that a peer knows to be leaving, and returns the IDs of those back
-// ends of which it is news.
+// MergeLeaving merges the incarnations that a peer knows to be leaving. It returns the IDs of
+// the back ends that are marked as leaving because of it, and whether any incarnation is new.
 func (c *Core) MergeLeaving(now time.Time, incarnations []uint32) (changed []string, added bool) {
 	if c.config.Disabled[RespectNotices] || !c.leaving.merge(incarnations) {
 		return nil, false
@@ -65,8 +67,8 @@
 	return c.applyLeaving(now), true
 }
 
-// applyLeaving takes the members that are known from answers to be leaving for such, and returns
-// the IDs of those that weren't before.
+// applyLeaving marks all members as leaving that announced it in answers, and returns the IDs
+// of those that weren't marked before.
 func (c *Core) applyLeaving(now time.Time) (changed []string) {
 	c.forEachMember(func(m *member) {
 		before := m.backEnd.Leaving
@@ -78,13 +80,13 @@
 	return changed
 }
 
-// noteLeaving takes a member for leaving whose answers have said so, whatever the list says.
+// noteLeaving marks the member as leaving if its answers announced it, regardless of the list.
 func (c *Core) noteLeaving(m *member) {
 	if c.leaving.contains(m.backEnd) {
 		m.backEnd.Leaving = true
 	}
 }
 
-// Words returns the number of lives of which gateways have told each other something: it grows
-// with each that is news.
+// IncarnationUpdates returns how many incarnations have been recorded as displaced or leaving.
+// If it has grown, there is something new to send to peers.
 func (c *Core) IncarnationUpdates() uint64 { return c.displaced.sequence() + c.leaving.sequence() }
--- a/internal/dispatch/notice_test.go
+++ b/internal/dispatch/notice_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// hears lets the answer to a request of the core carry a notice, and returns who gave it.
+// answerWithNotice answers a request with a notice, and returns the back end.
 func answerWithNotice(c *Core, id string, notice Notice) (from string) {
 	x, decision := c.Begin(start, request(nonRepeatable(), id))
 	c.ApplyNotice(start, x, notice)
@@ -17,7 +17,7 @@
 	return decision.Send.BackEnd.ID
 }
 
-// sendsTo tells whether any of many requests at the time goes to the back end.
+// sendsRequestsTo reports whether any of many requests goes to the back end.
 func sendsRequestsTo(c *Core, now time.Time, id string) bool {
 	for i := range 200 {
 		x, decision := c.Begin(now, request(nonRepeatable(), fmt.Sprint("to", i)))
@@ -29,7 +29,7 @@
 	return false
 }
 
-// Nothing that the list says takes the word back: it may be older, or from a copy of the store.
+// A list can't revoke the notice, since it may be older or come from a copy of the store.
 func TestListDoesNotRevokeLeavingNotice(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(4, 6))
@@ -37,7 +37,7 @@
 	is.True(!sendsRequestsTo(core, start, leaving))
 	core.SetBackEnds(start, backEnds(4, 6))
 	is.True(!sendsRequestsTo(core, start.Add(time.Hour), leaving))
-	core.SetBackEnds(start, nil) // vanished with all the others, and used as a lapsed one never
+	core.SetBackEnds(start, nil) // it lapses with all the others, but a leaving member isn't used as a lapsed one
 	is.True(!sendsRequestsTo(core, start.Add(time.Second), leaving))
 	core.SetBackEnds(start, backEnds(4, 6))
 	is.True(!sendsRequestsTo(core, start.Add(time.Hour), leaving))
@@ -52,7 +52,7 @@
 		moved[i].Address = fmt.Sprintf("10.99.0.%d:1", i+1)
 	}
 	core.SetBackEnds(start, moved)
-	is.True(sendsRequestsTo(core, start, leaving)) // the address is another's, who has said nothing
+	is.True(sendsRequestsTo(core, start, leaving)) // another back end uses the address now, and hasn't announced anything
 	again := backEnds(4, 6)
 	for i := range again {
 		again[i].Born = 7
@@ -61,7 +61,7 @@
 	is.True(sendsRequestsTo(core, start, leaving))
 }
 
-// A peer may know of it before this gateway lists the back end.
+// A gateway may learn of the notice from a peer before it lists the back end.
 func TestLeavingNoticeSpreadsToPeers(t *testing.T) {
 	is := is.New(t)
 	one, other := newCore(backEnds(4, 6)), newCore(nil)
@@ -71,14 +71,15 @@
 	_, added := other.MergeLeaving(start, incarnations)
 	is.True(added)
 	_, added = other.MergeLeaving(start, incarnations)
-	is.True(!added) // so it isn't told on and on
+	is.True(!added) // so it isn't passed on forever
 	other.SetBackEnds(start, backEnds(4, 6))
 	is.True(!sendsRequestsTo(other, start, leaving))
 	incarnations, _ = one.LeavingSince(cursor)
 	is.Equal(len(incarnations), 0)
 }
 
-// refusesFor lets a request of the core be refused with a time of rest, and returns by whom.
+// refuseWithRetryAfter refuses a request with a Retry-After, and returns the back end and the next
+// decision.
 func refuseWithRetryAfter(c *Core, now time.Time, id string, wait time.Duration) (by string, next Decision) {
 	x, decision := c.Begin(now, request(nonRepeatable(), id))
 	c.ApplyNotice(now, x, Notice{RetryAfter: wait})
@@ -91,15 +92,15 @@
 	is := is.New(t)
 	core := newCore(backEnds(3, 6))
 	resting, next := refuseWithRetryAfter(core, start, "a", 3*time.Second)
-	is.True(next.Send.BackEnd.ID != resting) // another takes it at once
+	is.True(next.Send.BackEnd.ID != resting) // another one gets the request at once
 	core.members[resting].health.setRetryAfter(start, time.Second)
-	is.True(!sendsRequestsTo(core, start.Add(2900*time.Millisecond), resting)) // a shorter one takes nothing back
+	is.True(!sendsRequestsTo(core, start.Add(2900*time.Millisecond), resting)) // a shorter one doesn't end it early
 	core.members[resting].health.succeeded(start.Add(time.Second))
-	is.True(!sendsRequestsTo(core, start.Add(2900*time.Millisecond), resting)) // nor does an answer to an earlier request
+	is.True(!sendsRequestsTo(core, start.Add(2900*time.Millisecond), resting)) // neither does an answer to an earlier request
 	is.True(sendsRequestsTo(core, start.Add(3*time.Second), resting))
 }
 
-// Who asks for rest has said all there is to say: it isn't ejected beyond that.
+// A back end that asks for a pause isn't also ejected for its refusals.
 func TestRetryAfterIsNotAFailure(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(1, 6))
@@ -122,7 +123,7 @@
 	is.Equal(decision.GiveUp.Wait(), 3*time.Second)
 }
 
-// What a back end that rests has read is copied from another one, or read again.
+// Parts held by a resting back end are copied from another one, or prefilled again.
 func TestPartsAreNotCopiedFromRestingMember(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(4, 64))
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -6,7 +6,7 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// release ends the current attempt.
+// release ends the current attempt and returns its member, or nil without an attempt.
 func (x *Exchange) release(now time.Time) *member {
 	m := x.current
 	x.current = nil
@@ -21,7 +21,7 @@
 	return m
 }
 
-// endWork takes the attempt off the member's load.
+// releaseSlot subtracts the attempt from the member's load.
 func (x *Exchange) releaseSlot(now time.Time, m *member) {
 	m.own = max(m.own-1, 0)
 	m.ended++
@@ -30,7 +30,7 @@
 	}
 }
 
-// settle notes that the attempt doesn't wait for the back end any more, once for each attempt.
+// endWait records, once for each attempt, that it no longer waits for the back end.
 func (x *Exchange) endWait(m *member) {
 	if !x.waitEnded {
 		x.waitEnded = true
@@ -38,9 +38,9 @@
 	}
 }
 
-// Worked notes that the back end has done its work, though its answer isn't read yet: the head
-// of an answer that is made before it is sent. A caller who reads slowly must not keep a place
-// at the back end from others.
+// ReleaseSlot records that the back end has finished its work although the answer hasn't been
+// read completely: the head has arrived of an answer that is produced completely before it is
+// sent. A caller that reads slowly must not occupy a slot of the back end.
 func (c *Core) ReleaseSlot(now time.Time, x *Exchange) {
 	if x.current != nil && !x.slotReleased {
 		x.slotReleased = true
@@ -49,8 +49,8 @@
 	}
 }
 
-// ended releases the member of the attempt that gave no answer, once its health
-// has taken the outcome.
+// endUnanswered ends an attempt that got no answer, applies its outcome to the member, and
+// records a change of the member's health.
 func (c *Core) endUnanswered(now time.Time, x *Exchange, outcome func(m *member)) {
 	m := x.release(now)
 	x.endWait(m)
@@ -58,7 +58,7 @@
 	c.recordHealthChange(now, m)
 }
 
-// NotConnected notes that nothing was sent, since no connection could be made.
+// NotConnected records that no connection could be made, so nothing was sent.
 func (c *Core) NotConnected(now time.Time, x *Exchange) Decision {
 	c.endUnanswered(now, x, func(m *member) {
 		m.health.connectFailed(now)
@@ -72,8 +72,8 @@
 	return c.attempt(now, x)
 }
 
-// Refused notes that the back end said that it did not run the request. Refusing
-// while it has room speaks against it, unless it said for how long.
+// Refused records that the back end declared that it did not run the request. A refusal while
+// the back end has room counts as a failure, unless it came with a Retry-After.
 func (c *Core) Refused(now time.Time, x *Exchange) Decision {
 	c.endUnanswered(now, x, func(m *member) {
 		c.noteAnswered(now, x, m)
@@ -86,7 +86,7 @@
 	return c.retryOrGiveUp(now, x, failure.PoolExhausted, "the back end did not take the request")
 }
 
-// Misdirected notes that the address belongs to another back end by now.
+// Misdirected records that another back end now uses the address.
 func (c *Core) Misdirected(now time.Time, x *Exchange) Decision {
 	c.endUnanswered(now, x, func(m *member) {
 		m.health.connectFailed(now)
@@ -96,8 +96,8 @@
 	return c.retryOrGiveUp(now, x, failure.PoolExhausted, "the back end has gone")
 }
 
-// Broken notes that the connection ended without a whole answer: the request may have run,
-// and may have crashed the back end.
+// ConnectionLost records that the connection ended before a complete answer: the request may
+// have run, and may have crashed the back end.
 func (c *Core) ConnectionLost(now time.Time, x *Exchange) Decision {
 	c.endUnanswered(now, x, func(m *member) {
 		m.health.connectionLost(now)
@@ -106,27 +106,28 @@
 	return c.afterUnknownOutcome(now, x)
 }
 
-// Unusable notes an answer that isn't the back end's to this request: it may have run.
+// InvalidAnswer records an answer that isn't the back end's answer to this request, which may
+// have run.
 func (c *Core) InvalidAnswer(now time.Time, x *Exchange) Decision {
 	c.endUnanswered(now, x, func(m *member) { m.health.connectionLost(now) })
 	return c.afterUnknownOutcome(now, x)
 }
 
-// unanswered decides after an attempt that gave no answer and may have run.
+// afterUnknownOutcome decides how to proceed after an attempt that got no answer and may have run.
 func (c *Core) afterUnknownOutcome(now time.Time, x *Exchange) Decision {
 	x.ran = failure.RanUnknown
 	return c.retryOrGiveUp(now, x, failure.BackendFailed, "the back end broke off before it answered")
 }
 
-// Expired notes that no head came within the attempt's patience or the deadline.
+// TimedOut records that no head arrived within the attempt's head timeout or the deadline.
 func (c *Core) TimedOut(now time.Time, x *Exchange) Decision {
 	c.endUnanswered(now, x, func(m *member) { m.health.connectionLost(now) })
 	x.ran = failure.RanUnknown
 	return c.retryOrGiveUp(now, x, failure.TimedOut, "the back end did not answer in time")
 }
 
-// Failed notes an answer that reports a failure of the back end's own. It is
-// passed on unless another attempt may help.
+// Failed records an error answer of the back end itself. It is passed on to the caller unless
+// another attempt may help.
 func (c *Core) Failed(now time.Time, x *Exchange) Decision {
 	m := x.current
 	x.ran = failure.RanYes
@@ -151,8 +152,8 @@
 	return c.attempt(now, x)
 }
 
-// Answered notes the head of an answer that can be passed on. load is the load
-// that it tells, or below 0.
+// Answered records the head of an answer that can be passed on. load is the load that the back
+// end reported, or negative without a report.
 func (c *Core) Answered(now time.Time, x *Exchange, load int) {
 	m := x.current
 	x.phase = Answering
@@ -172,8 +173,8 @@
 	}
 }
 
-// Cut notes that an answer broke off after its head, and decides whether the
-// stream is continued elsewhere.
+// Truncated records that the connection was lost after the head of an answer, and decides
+// whether the stream is resumed at another back end.
 func (c *Core) Truncated(now time.Time, x *Exchange) Decision {
 	m := x.release(now)
 	m.health.connectionLost(now)
@@ -186,7 +187,7 @@
 	return c.attempt(now, x)
 }
 
-// Done notes that the exchange ended, whether whole or since the caller left.
+// Done ends the exchange, after a final answer or because the caller disconnected.
 func (c *Core) Done(now time.Time, x *Exchange) {
 	waiting := x.phase == Sent
 	if m := x.release(now); m != nil && waiting {
@@ -195,7 +196,7 @@
 	x.phase = Ended
 }
 
-// again decides on another attempt after one that gave no answer.
+// retryOrGiveUp decides whether to try again after an attempt that got no answer.
 func (c *Core) retryOrGiveUp(now time.Time, x *Exchange, kind failure.Kind, message string) Decision {
 	if c.config.Disabled[Retries] {
 		return c.giveUp(now, x, kind, message)
@@ -222,7 +223,7 @@
 	return len(c.candidates(now, x)) > 0
 }
 
-// errorRate is the mean error rate of the service's other members.
+// poolErrorRate returns the mean error rate of the service's other members.
 func (c *Core) poolErrorRate(service string, except *member) float64 {
 	pool := c.pools[service]
 	if pool == nil || len(pool.members) < 2 {
--- a/internal/dispatch/paths.go
+++ b/internal/dispatch/paths.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// rememberedPaths bounds the memory for paths that failed.
+	// maxRememberedPaths bounds the number of failed paths remembered.
 	maxRememberedPaths = 4096
-	// failingTime is how long a path is believed to fail everywhere.
+	// pathFailureTTL is how long a path is assumed to fail on every back end.
 	pathFailureTTL = 30 * time.Second
 )
 
-// pathMemory remembers paths that failed on two back ends: a further attempt
-// there would only spend budget.
+// pathMemory remembers paths that failed on two back ends. Retrying a request to such a path
+// would only spend retry budget.
 type pathMemory struct {
 	failed *lru.Cache[string, pathFailure]
 }
@@ -30,23 +30,22 @@
 func newPathMemory() *pathMemory {
 	failed, err := lru.New[string, pathFailure](maxRememberedPaths)
 	if err != nil {
-		panic(err) // the size is fixed and above 0
+		panic(err) // the size is constant and positive
 	}
 	return &pathMemory{failed: failed}
 }
 
-// note takes a failure of the path at a back end.
+// note records a failure of the path at a back end.
 func (p *pathMemory) note(now time.Time, path string, backEnd catalog.Incarnation) {
 	known, ok := p.failed.Get(path)
 	everywhere := ok && now.Sub(known.at) < pathFailureTTL && (known.everywhere || known.backEnd != backEnd)
 	p.failed.Add(path, pathFailure{backEnd: backEnd, everywhere: everywhere, at: now})
 }
 
-// clear notes that the path succeeded.
+// clear records a success of the path.
 func (p *pathMemory) clear(path string) { p.failed.Remove(path) }
 
-// failsEverywhere tells whether the path failed on more than one back end of
-// late.
+// failsEverywhere reports whether the path recently failed on more than one back end.
 func (p *pathMemory) failsEverywhere(now time.Time, path string) bool {
 	known, ok := p.failed.Peek(path)
 	return ok && known.everywhere && now.Sub(known.at) < pathFailureTTL
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -7,7 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// choose returns the member for the next attempt, or nil when none has room.
+// choose returns the member for the next attempt, or nil if none has room, and counts the
+// attempt towards the member's warm-up quota.
 func (c *Core) choose(now time.Time, x *Exchange) *member {
 	chosen := c.chooseAmong(now, x, c.withWarmUpQuota(now, c.candidates(now, x)))
 	if chosen != nil && c.isWarmingUp(now, chosen) {
@@ -16,7 +17,7 @@
 	return chosen
 }
 
-// chooseAmong returns the candidate for the next attempt, or nil when none has room.
+// chooseAmong returns the candidate for the next attempt, or nil if none has room.
 func (c *Core) chooseAmong(now time.Time, x *Exchange, candidates []*member) *member {
 	if len(candidates) == 0 {
 		return nil
@@ -31,10 +32,10 @@
 	return chosen
 }
 
-// candidates returns the members that may take the request. Where fewer than half
-// of those that aren't leaving are usable, the trouble is the pool's rather than a
-// member's: then all that can be reached are, so that a few don't carry the load of
-// all; and where none can be, all are.
+// candidates returns the members that may take the request. If fewer than half of those that
+// are eligible are usable, the cause is probably common to the whole pool. Then it returns all
+// reachable members, so that a few don't get the whole load, or all eligible members if none is
+// reachable.
 func (c *Core) candidates(now time.Time, x *Exchange) []*member {
 	pool := c.poolMembers(now, x.service)
 	c.usable = c.usable[:0]
@@ -54,8 +55,8 @@
 	return c.fallbackCandidates(now, x, pool)
 }
 
-// inTrouble returns those of a pool in trouble that can be reached, or all where none can
-// be.
+// fallbackCandidates returns the eligible members that are usable or at least reachable, or all
+// eligible members if there are none.
 func (c *Core) fallbackCandidates(now time.Time, x *Exchange, pool []*member) []*member {
 	var reachable, all []*member
 	for _, m := range pool {
@@ -73,24 +74,24 @@
 	return all
 }
 
-// mayTake tells whether the member is open to the request, hasn't had it, and didn't ask to be
-// left alone. No way to a back end goes around it.
+// isEligible reports whether the member accepts the request, hasn't been tried for it, and has
+// no Retry-After pending. Every choice of a back end is subject to these conditions.
 func (c *Core) isEligible(now time.Time, x *Exchange, m *member) bool {
 	return c.acceptsNew(now, x, m) && !x.wasTried(m) && m.health.retryWait(now) == 0
 }
 
-// isOpen tells whether the member is neither leaving nor evacuated, and of the version that may
-// have the request.
+// acceptsNew reports whether the member is neither leaving nor evacuated, and runs a version
+// that the request may go to.
 func (c *Core) acceptsNew(now time.Time, x *Exchange, m *member) bool {
 	leaves := m.backEnd.Leaving && !c.config.Disabled[RespectLeaving]
 	evacuated := m.evacuated && !c.config.Disabled[RespectEvacuations]
 	return !leaves && !evacuated && c.allowedByRollout(now, x, m)
 }
 
-// capacity is the load up to which a back end is given requests of an urgency.
-// Plain services may queue for a while: their work is short. Where prompts are
-// cached every further request slows all that run beside it, so there the least
-// urgent requests are refused first, while the others still find room.
+// capacity returns the load up to which the member is given requests of this urgency. Services
+// without prompts may queue for a while, since their requests are short. At back ends that cache
+// prompts, every further request slows down all others that run there. So there the least urgent
+// requests are refused first, while more urgent ones still find room.
 func (c *Core) capacity(m *member, x *Exchange) float64 {
 	if m.backEnd.Slots <= 0 {
 		return defaultCapacity
@@ -107,22 +108,22 @@
 }
 
 const (
-	// urgencyStep is the part of a caching back end's slots that each less urgent
-	// rank leaves free, up to lastUrgencyStep ranks.
+	// urgencyStep is the fraction of a caching back end's slots that each less urgent rank
+	// leaves free, up to lastUrgencyStep ranks.
 	urgencyStep     = 0.08
 	lastUrgencyStep = 4
 )
 
-// hasRoom tells whether the request is within the member's capacity, by the loads that
-// are known: nothing is refused on a guess at the others'.
+// hasRoom reports whether the request fits into the member's capacity. It uses known loads
+// only: no request is refused because of an estimate of the other gateways' loads.
 func (c *Core) hasRoom(now time.Time, m *member, x *Exchange) bool {
 	return c.knownLoad(now, m)+1 <= c.capacity(m, x)
 }
 
-// defaultCapacity is used for back ends that don't tell their slots.
+// defaultCapacity applies to back ends that don't report their number of slots.
 const defaultCapacity = 64
 
-// chooseCaching returns the first member within the bound on load, in the order of
+// chooseByAffinity returns the first member within the bound on load, in the order of
 // preference.
 func (c *Core) chooseByAffinity(now time.Time, x *Exchange, candidates []*member) *member {
 	bound := c.bound(now, x)
@@ -131,8 +132,8 @@
 	for m := c.nextPreferred(); m != nil; m = c.nextPreferred() {
 		var chance float64
 		chance, overflow = c.admissionChance(now, m, bound, overflow)
-		// Noted afterwards: a rate that counts the request itself would be too high by
-		// one a second.
+		// Recorded only after admissionChance: a rate that includes this request would be too
+		// high by one per second.
 		m.demand.note(now)
 		if winsLottery(x, m, chance) && c.hasRoom(now, m, x) {
 			return m
@@ -141,24 +142,24 @@
 	return c.leastLoaded(now, x, candidates)
 }
 
-// scarceMemory is the share of a member's memory from which it counts as scarce. Below
-// it nothing gives way early, and the order alone decides: that is the one thing that
-// gateways agree on after all of them have restarted.
+// scarceMemoryShare is the share of a member's memory above which its memory counts as scarce.
+// Below it, no part is evicted early, and only the rendezvous order decides: that order is all
+// that gateways agree on after all of them have restarted.
 const scarceMemoryShare = 0.5
 
-// preference yields candidates in the order of choice.
+// preference yields candidates in the order of preference.
 type preference struct {
 	ranking ranking
-	// homeChosen is set once a member that holds nothing was yielded, and second is the
-	// one that it was weighed against.
+	// nonHolderYielded is set once a member that doesn't hold the part was yielded, and second
+	// is the one that it was compared with.
 	nonHolderYielded bool
 	second           *member
 }
 
-// prefer orders the candidates by choice: first those that are believed to hold the
-// prompt's shared parts, then the others, each in rendezvous order. So a part is read by
-// the same member whichever gateway a caller meets, and a member that joins takes over
-// what finds no room at its holders.
+// orderByPreference orders the candidates: first those that are assumed to hold the shared parts
+// of the prompt, then the others, each group in rendezvous order. So a part is prefilled by the
+// same member regardless of the gateway that gets the request, and a member that joins takes over
+// the requests for which the holders have no room.
 func (c *Core) orderByPreference(now time.Time, x *Exchange, candidates []*member) {
 	holders := c.holders.holdersOf(now, keyOf(x.request.affinity()))
 	c.order.nonHolderYielded = c.config.Disabled[BalanceMemory]
@@ -168,10 +169,10 @@
 	})
 }
 
-// nextPreferred returns the next candidate, or nil. Where memory is scarce, the first
-// that holds nothing is the one of two that holds less: two make homes far more even
-// than one, and gateways that don't yet know of each other's choices still pick one of
-// the same two.
+// nextPreferred returns the next candidate, or nil. If memory is scarce, the first two members
+// that don't hold the part are compared, and the one that holds less is yielded first. Choosing
+// between two distributes the parts far more evenly than taking the first, and gateways that
+// don't know of each other's choices yet still pick one of the same two.
 func (c *Core) nextPreferred() *member {
 	if second := c.order.second; second != nil {
 		c.order.second = nil
@@ -193,8 +194,8 @@
 	return first
 }
 
-// memoryShare is the share of a member's memory that the prompts it is believed to
-// hold would fill; 0 when its size is unknown.
+// memoryShare returns the share of the member's memory that the prompts it is assumed to hold
+// take up; 0 if its size is unknown.
 func (c *Core) memoryShare(m *member) float64 {
 	tokens := c.services[m.backEnd.Service].CacheTokens
 	if tokens <= 0 {
@@ -203,13 +204,13 @@
 	return float64(c.holders.held[m.backEnd.Incarnation()]) / float64(tokens)
 }
 
-// otherZone is added to the load of a member in another zone, so that an equal
-// choice stays in the zone.
+// otherZonePenalty is added to the load of a member in another zone, so that requests stay in
+// the gateway's zone when loads are equal.
 const otherZonePenalty = 0.5
 
-// leastLoaded returns the member with the least load for its slots, or nil when all are
-// full; where loads are known late, one by lot (spread.go). Ties are broken by a hash of the
-// request, so that gateways don't all pick the same member.
+// leastLoaded returns the member with the lowest load per slot, or nil if all are full. If load
+// information is out of date it chooses at random instead; see spread. Ties are broken by a hash
+// of the request, so that gateways don't all choose the same member.
 func (c *Core) leastLoaded(now time.Time, x *Exchange, candidates []*member) *member {
 	if c.totalsAreFresh(now) && !c.config.Disabled[Spread] {
 		return c.spread(now, x, candidates)
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -37,11 +37,11 @@
 	core.SetBackEnds(start, list)
 	_, decision = core.Begin(start, request(repeatable(1), "b", parts...))
 	is.True(decision.Send.BackEnd.ID != holder.ID)
-	is.Equal(decision.Send.FetchFrom, holder.Address) // one that leaves can still be copied from
+	is.Equal(decision.Send.FetchFrom, holder.Address) // a leaving back end can still be copied from
 }
 
-// A gateway that has started anew knows no holder: a member that joined copies
-// from the one whose place it took, though that one is leaving.
+// A restarted gateway knows no holders. A member that joined copies from the member that ranked
+// first before it, even if that one is leaving.
 func TestNewMemberCopiesFromTheLeavingMemberItReplaces(t *testing.T) {
 	is := is.New(t)
 	list := backEnds(6, 64)
@@ -66,8 +66,8 @@
 	is.True(found > 5)
 }
 
-// A back end whose connections broke is left alone, but can still be copied from;
-// one that can't be reached can't.
+// A back end ejected for lost connections can still be copied from; one that can't be connected
+// to can't.
 func TestPartsAreCopiedFromAnEjectedHolder(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(4, 64))
--- a/internal/dispatch/ranking.go
+++ b/internal/dispatch/ranking.go
@@ -6,9 +6,9 @@
 	"github.com/harriernotch/harriernotch/internal/routing"
 )
 
-// ranking yields members by falling rendezvous weight for a key, preferred ones first.
-// It is a heap, since as a rule the first member or two are all that a decision looks
-// at: ordering a large pool would cost more than everything else in it.
+// ranking yields members by descending rendezvous weight for a key, preferred members first. It
+// is a heap, because a decision usually looks at the first one or two members only: sorting a
+// large pool would cost more than the rest of the decision.
 type ranking struct {
 	entries []rankedMember
 }
@@ -19,7 +19,7 @@
 	preferred bool
 }
 
-// rank fills the ranking with the members for the key.
+// rank fills the ranking with the members, ordered for the key.
 func (r *ranking) rank(key string, members []*member, preferred func(m *member) bool) {
 	keyHash := xxhash.Sum64String(key)
 	r.entries = r.entries[:0]
@@ -31,7 +31,7 @@
 	}
 }
 
-// next takes the first member off, or returns nil when none is left.
+// next removes and returns the first member, or returns nil if none is left.
 func (r *ranking) next() *member {
 	if len(r.entries) == 0 {
 		return nil
@@ -44,10 +44,10 @@
 	return first
 }
 
-// firstIsPreferred tells whether the member that is next is a preferred one.
+// firstIsPreferred reports whether the next member is a preferred one.
 func (r *ranking) firstIsPreferred() bool { return len(r.entries) > 0 && r.entries[0].preferred }
 
-// sink moves the entry down until none below it goes before it.
+// sink moves the entry down until no child ranks before it.
 func (r *ranking) sink(i int) {
 	for {
 		first := i
--- a/internal/dispatch/ranking_test.go
+++ b/internal/dispatch/ranking_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// The heap yields the same order as ranking the whole pool does, preferred members first.
+// The heap yields the order of a complete sort, preferred members first.
 func TestRankingYieldsRendezvousOrder(t *testing.T) {
 	is := is.New(t)
 	core := newCore(backEnds(37, 6))
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -6,35 +6,35 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// Part is one part of a prompt. Parts are shared between requests; the last one
-// belongs to the request or its chat.
+// Part is one part of a prompt. Parts are shared between requests, except for the last one,
+// which belongs to the request or its chat.
 type Part struct {
-	// ID is the same wherever the part occurs.
+	// ID identifies the part; it is the same in all prompts that contain the part.
 	ID string
-	// Tokens is its length.
+	// Tokens is the length of the part.
 	Tokens int
 }
 
 // Request is what the core needs to know of a caller's request.
 type Request struct {
-	// ID is the request's own.
+	// ID identifies the request.
 	ID string
-	// Route is the route in force when it came.
+	// Route is the route that was in force when the request arrived.
 	Route *catalog.Route
-	// Path is the whole path, for failures that belong to it.
+	// Path is the complete path; failures are remembered by it.
 	Path string
-	// Parts are the prompt's parts in order, or none.
+	// Parts are the parts of the prompt in order; empty without a prompt.
 	Parts []Part
 	// Urgency ranks the request; 0 is the most urgent.
 	Urgency int
-	// Fingerprints returns what stands for the request's content; nil where that is of no
-	// interest. It is called only where back ends have crashed.
+	// Fingerprints returns the fingerprints of the request's content. It is nil if the content
+	// isn't fingerprinted, and is called only after back ends have crashed.
 	Fingerprints func() []Fingerprint
-	// Deadline is when the caller or the route ends the request.
+	// Deadline is when the caller's or the route's time limit ends the request.
 	Deadline time.Time
 }
 
-// affinity returns the ID of the last shared part, or "".
+// affinity returns the ID of the last shared part, or "" without a prompt.
 func (r *Request) affinity() string {
 	switch len(r.Parts) {
 	case 0:
@@ -46,8 +46,7 @@
 	}
 }
 
-// sharedTokens returns the length of the prompt up to the end of the last shared
-// part.
+// sharedTokens returns the length of the prompt up to the end of the last shared part.
 func (r *Request) sharedTokens() int {
 	total := 0
 	for i, part := range r.Parts {
@@ -58,8 +57,8 @@
 	return total
 }
 
-// shorterPrefixes returns the shared parts before the last one: the beginnings that the
-// prompt has in common with prompts of other last shared parts.
+// shorterPrefixes returns the shared parts before the last one: the prefix that the prompt
+// has in common with prompts whose last shared part is another one.
 func (r *Request) shorterPrefixes() []Part {
 	if len(r.Parts) < 3 {
 		return nil
--- a/internal/dispatch/rollouts.go
+++ b/internal/dispatch/rollouts.go
@@ -9,47 +9,47 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// versionHold is how long the back ends of a version that is new to a service get nothing
-// where operators move services to other versions: they start with the order, and a gateway may
-// hear of them before it hears of that.
+// newVersionHold is how long back ends of a version that is new to a service get no requests,
+// if rollouts are enabled. They start when the rollout is ordered, and a gateway may learn of
+// them before it learns of the order.
 const newVersionHold = 2 * time.Second
 
-// rollouts are the orders to move services to other versions.
+// rollouts holds the orders to roll services out to other versions.
 type rollouts struct {
 	limits rollout.Limits
-	// byService holds the orders that bind: also one that was withdrawn before a verdict, whose
-	// candidate gets nothing while it is there.
+	// byService holds the orders in force. It includes orders that were withdrawn before a
+	// verdict, whose candidate version gets no requests while it is present.
 	byService map[string]*rollout.Judge
-	// withdrawn are the services of which the latter is true.
+	// withdrawn are the services whose order in byService was withdrawn.
 	withdrawn map[string]bool
-	// endedAt is when an order was last withdrawn, by its ID: what peers say of it from before
-	// doesn't speak of one that is given anew.
+	// withdrawnAt is when an order was last withdrawn, by its ID. Peers' marks from before that
+	// time don't apply if the same order is given again.
 	withdrawnAt map[uint32]time.Time
-	// familiar are the versions of each service that may serve without an order.
+	// established are the versions of each service that may serve without an order.
 	established map[string]map[string]bool
-	// changes are what is to be logged.
+	// changes are the steps that haven't been logged yet.
 	changes []RolloutChange
 }
 
-// RolloutChange is a step of a roll-out, for logs.
+// RolloutChange is a step of a rollout, for logs.
 type RolloutChange struct {
-	// Order is what is moved, and Kind what happened.
+	// Order is the rollout, and Step what happened to it.
 	Order rollout.Order
 	Step  RolloutStep
-	// Finding is why the candidate was given up, where this gateway found so.
+	// Finding is why the candidate was abandoned, if this gateway found the evidence.
 	Finding *rollout.Finding
 }
 
-// RolloutStep is what may happen to a roll-out.
+// RolloutStep is a kind of step of a rollout.
 type RolloutStep uint8
 
-// The steps.
+// The steps of a rollout.
 const (
-	// RolloutBegan: the order was heard of.
+	// RolloutBegan: this gateway learned of the order.
 	RolloutBegan RolloutStep = iota
-	// RolloutAbandoned: the candidate was found bad, here or by a peer.
+	// RolloutAbandoned: the candidate was found bad, by this gateway or a peer.
 	RolloutAbandoned
-	// RolloutEnded: a verdict was heard of, or the order was withdrawn.
+	// RolloutEnded: this gateway learned of a verdict, or the order was withdrawn.
 	RolloutEnded
 )
 
@@ -60,11 +60,11 @@
 	}
 }
 
-// enabled tells whether operators may move services at all.
+// enabled reports whether operators may roll out versions at all.
 func (r *rollouts) enabled() bool { return r.limits.Share > 0 || r.limits.Extra > 0 }
 
-// SetRollouts replaces the list of orders. ages are how long ago those were given whose
-// beginning stands in the store.
+// SetRollouts replaces the list of orders. ages holds, by service, how long ago an order was
+// given, for orders whose start time the store has.
 func (c *Core) SetRollouts(now time.Time, list []catalog.Rollout, ages map[string]time.Duration) {
 	current := map[string]bool{}
 	for _, each := range list {
@@ -98,8 +98,8 @@
 	}
 }
 
-// withdrawRollout ends an order that is gone. Without a verdict its candidate was never found
-// good, and counts as reverted for as long as it stands beside others.
+// withdrawRollout ends an order that is no longer listed. Without a verdict its candidate was
+// never found good, and counts as reverted for as long as it runs beside other versions.
 func (c *Core) withdrawRollout(now time.Time, service string) {
 	if c.rollouts.withdrawn[service] {
 		return
@@ -120,15 +120,15 @@
 	c.rollouts.changes = append(c.rollouts.changes, RolloutChange{Order: order, Step: step, Finding: finding})
 }
 
-// TakeRolloutChanges returns the steps since the last call.
+// TakeRolloutChanges returns the steps since the last call and clears them.
 func (c *Core) TakeRolloutChanges() []RolloutChange {
 	changes := c.rollouts.changes
 	c.rollouts.changes = nil
 	return changes
 }
 
-// noteCandidates tells the judges whether their candidates are in service, and learns the
-// versions that need no order.
+// refreshRollouts updates the judges on whether their candidates are in service, and learns
+// which versions need no order.
 func (c *Core) refreshRollouts(now time.Time) {
 	if !c.rollouts.enabled() {
 		return
@@ -159,7 +159,8 @@
 	c.rollouts.established[service][version] = true
 }
 
-// inService tells whether back ends of the target version, and of others, are in service.
+// versionsInService reports whether back ends of the target version, and of other versions, are
+// in service.
 func (c *Core) versionsInService(service, target string) (candidates, standing bool) {
 	pool := c.pools[service]
 	if pool == nil {
@@ -178,7 +179,7 @@
 	return candidates, standing
 }
 
-// pickSide decides which of two versions may take the exchange's next attempt.
+// pickSide decides which of the two versions the exchange's next attempt may go to.
 func (c *Core) pickSide(now time.Time, x *Exchange) {
 	judge := c.rollouts.byService[x.service]
 	if judge == nil {
@@ -191,8 +192,8 @@
 	x.side = judge.FurtherSide(now, x.request.Route.Name)
 }
 
-// yieldSide lets a request for which the candidate has no room go to the standing version,
-// and tells whether it may.
+// fallBackToStanding redirects a request for which the candidate has no room to the standing
+// version, and reports whether that is allowed.
 func (c *Core) fallBackToStanding(x *Exchange) bool {
 	judge := c.rollouts.byService[x.service]
 	if judge == nil || x.side != rollout.Candidate || !judge.Allows(rollout.Standing) {
@@ -202,7 +203,8 @@
 	return true
 }
 
-// isOnSide tells whether a move to another version lets the exchange go to the member.
+// allowedByRollout reports whether the service's rollout, if any, allows the exchange to go to
+// the member.
 func (c *Core) allowedByRollout(now time.Time, x *Exchange, m *member) bool {
 	if !c.rollouts.enabled() || c.config.Disabled[Exposure] {
 		return true
@@ -214,8 +216,8 @@
 	}
 	side := sideOf(judge, m)
 	if !judge.Allows(side) {
-		// Whatever is left of the standing version serves until the candidate's back ends are
-		// heard of.
+		// Back ends that remain of the standing version serve until the candidate's back ends are
+		// known.
 		return side == rollout.Standing && !judge.HasCandidates()
 	}
 	return judge.State().IsVerdict() || side == x.side
@@ -228,7 +230,7 @@
 	return rollout.Standing
 }
 
-// noteRun lets the judge of a move follow the attempt.
+// startRolloutAttempt makes the judge of the service's rollout track the attempt.
 func (c *Core) startRolloutAttempt(now time.Time, x *Exchange, m *member) {
 	x.rolloutAttempt = nil
 	judge := c.rollouts.byService[x.service]
@@ -241,7 +243,7 @@
 	})
 }
 
-// activeJudges returns those without a verdict, by service.
+// activeJudges returns the judges without a verdict, ordered by service.
 func (c *Core) activeJudges() []*rollout.Judge {
 	var active []*rollout.Judge
 	for _, service := range slices.Sorted(maps.Keys(c.rollouts.byService)) {
@@ -252,7 +254,7 @@
 	return active
 }
 
-// Tallies returns what this gateway has seen of moves that aren't decided.
+// Tallies returns this gateway's observations of undecided rollouts.
 func (c *Core) Tallies(now time.Time) []rollout.Tally {
 	var tallies []rollout.Tally
 	for _, judge := range c.activeJudges() {
@@ -261,8 +263,8 @@
 	return tallies
 }
 
-// TakeTallies takes the tallies of all gateways of a large fleet, so many of those expected, in
-// which those that this one told are counted in.
+// SetTallyTotals sets the tallies of all gateways of a large fleet. They include those that this
+// gateway reported, which are subtracted.
 func (c *Core) SetTallyTotals(now time.Time, reported []rollout.Tally, totals Totals) {
 	if totals.Counted < 1 {
 		return
@@ -277,14 +279,14 @@
 	}
 }
 
-// PeerTallies takes one gateway's tallies in a small fleet.
+// SetPeerTallies sets the tallies of one peer in a small fleet.
 func (c *Core) SetPeerTallies(now time.Time, peer string, tallies []rollout.Tally) {
 	for _, judge := range c.activeJudges() {
 		judge.TakePeer(now, peer, tallies)
 	}
 }
 
-// Marks returns what peers are told of moves that aren't decided.
+// Marks returns the marks of undecided rollouts, to be sent to peers.
 func (c *Core) Marks(now time.Time) []rollout.Mark {
 	var marks []rollout.Mark
 	for _, judge := range c.activeJudges() {
@@ -293,7 +295,8 @@
 	return marks
 }
 
-// HearMarks takes a peer's marks, and tells whether a candidate was given up by them.
+// MergeMarks merges a peer's marks, and reports whether they made this gateway abandon a
+// candidate.
 func (c *Core) MergeMarks(now time.Time, marks []rollout.Mark) (abandoned bool) {
 	for _, mark := range marks {
 		age := time.Duration(mark.AgeMillis) * time.Millisecond
@@ -310,7 +313,7 @@
 	return abandoned
 }
 
-// LookAtRollouts weighs the evidence, and tells whether a candidate is given up by it.
+// EvaluateRollouts evaluates the evidence, and reports whether a candidate was abandoned for it.
 func (c *Core) EvaluateRollouts(now time.Time) (abandoned bool) {
 	for _, judge := range c.activeJudges() {
 		if judge.Look(now) {
@@ -321,7 +324,7 @@
 	return abandoned
 }
 
-// RolloutsDue returns the states that the store should show by now, by service.
+// DueRolloutStates returns, by service, the states that the store should hold by now.
 func (c *Core) DueRolloutStates(now time.Time) map[string]DueRolloutState {
 	due := map[string]DueRolloutState{}
 	for service, judge := range c.rollouts.byService {
@@ -330,13 +333,13 @@
 	return due
 }
 
-// RolloutDue is the state that the store should show of an order of that age.
+// DueRolloutState is the state that the store should hold for an order, and the order's age.
 type DueRolloutState struct {
 	State rollout.State
 	Age   time.Duration
 }
 
-// Rollouts returns what is known of each move, by service.
+// Rollouts returns a report on each rollout, ordered by service.
 func (c *Core) Rollouts(now time.Time) []rollout.Report {
 	var reports []rollout.Report
 	for _, service := range slices.Sorted(maps.Keys(c.rollouts.byService)) {
--- a/internal/dispatch/shared_bound_test.go
+++ b/internal/dispatch/shared_bound_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// crowd plays gateways that share a pool without asking each other: each tells
-// its loads every 200 ms, and much of the traffic is for one prompt part.
+// gatewayFleet simulates gateways that share a pool without coordination: each reports its loads
+// every 200 ms, and much of the traffic is for one prompt part.
 type gatewayFleet struct {
 	random    *rand.Rand
 	cores     []*Core
@@ -20,15 +20,15 @@
 	total     int
 	sent      int
 	overBound int
-	// multiple is the operators' bound on load in multiples of the mean.
+	// multiple is the operators' bound on load, in multiples of the mean.
 	multiple float64
 	members  int
-	// neighbours are the gateways that each tells its loads.
+	// neighbours are, for each gateway, those that it reports its loads to.
 	neighbours [][]int
 	refused    int
 }
 
-// newCrowd returns gateways that were told the multiple and all know each other.
+// newConnectedFleet returns a fleet in which all gateways report to each other.
 func newConnectedFleet(gateways int, multiple float64) *gatewayFleet {
 	c := newRingFleet(gateways, fleetMembers, multiple)
 	for i := range c.neighbours {
@@ -42,8 +42,7 @@
 	return c
 }
 
-// newLargeCrowd returns gateways that tell their news to neighbours at doubling
-// distances on a ring.
+// newRingFleet returns a fleet whose gateways report to neighbours at doubling distances on a ring.
 func newRingFleet(gateways, members int, multiple float64) *gatewayFleet {
 	c := &gatewayFleet{
 		random: rand.New(rand.NewPCG(7, 7)), now: start, loads: map[string]int{}, multiple: multiple,
@@ -154,7 +153,7 @@
 							c.step(perSecond, hotShare)
 						}
 						t.Logf("%d of %d over the bound", c.overBound, c.sent)
-						is.True(float64(c.overBound) < 0.01*float64(c.sent)) // three in a hundred are allowed
+						is.True(float64(c.overBound) < 0.01*float64(c.sent)) // the operators allow 3%
 					})
 				}
 			}
@@ -162,8 +161,8 @@
 	}
 }
 
-// In a large fleet each gateway hears a few of the others, and loads that back ends
-// tell make up for some of the rest. Nothing is refused, since there is room. docs/CAPACITY.md tells
+// In a large fleet each gateway gets the loads of a few others, and the loads that back ends report
+// make up for some of the rest. Nothing is refused, since there is room. docs/CAPACITY.md states
 // how far larger fleets are from the bound.
 func TestRingFleetsKeepTheBound(t *testing.T) {
 	for _, size := range []struct{ gateways, members, perSecond int }{{1, 18, 240}, {14, 30, 300}, {30, 55, 530}} {
@@ -175,14 +174,14 @@
 					c.step(float64(size.perSecond), hotShare)
 				}
 				t.Logf("%d of %d over the bound", c.overBound, c.sent)
-				is.True(float64(c.overBound) <= 0.03*float64(c.sent)) // as many are allowed
+				is.True(float64(c.overBound) <= 0.03*float64(c.sent)) // the share that the operators allow
 				is.Equal(c.refused, 0)
 			})
 		}
 	}
 }
 
-// Members that are ejected by mistake don't raise the bound of the others.
+// Members that are ejected by mistake must not raise the load of the others above the bound.
 func TestEjectedMembersCountInTheBoundMean(t *testing.T) {
 	is := is.New(t)
 	const gateways, ejected = 4, 6
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -7,27 +7,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Where loads are known late, the least loaded member can't be the choice: all gateways
-// would send there until the next word. Instead the requests that have begun since are
-// taken to be spread over the members, so that they fill the emptiest first, and each
-// request takes a place among them by lot.
+// If load information is out of date, choosing the least loaded member doesn't work: all
+// gateways would send to the same one until the next update. Instead, the requests that have
+// begun since the last update are assumed to be spread over the members so that they fill
+// the emptiest first. Each request is placed at random on one of the members that they fill.
 
 const (
-	// runTimeWeight is the weight of the newest word in a run time: some words, since the
-	// few requests of one say little, and few of them, since a member that has become
-	// slow must get less within seconds.
+	// residenceWeight is the weight of the newest update in a residence time. It averages over
+	// several updates, because the few requests of one update say little, but not over many,
+	// because a member that has become slow must get fewer requests within seconds.
 	residenceWeight = 0.15
-	// paceWeight is the same for a gateway's own requests to a service, which are few.
+	// localResidenceWeight is the same for this gateway's own requests to a service, which are few.
 	localResidenceWeight = 0.05
-	// fewestEnded is the mean number of requests a word below which a run time isn't
-	// known.
+	// minEndedPerUpdate is the mean number of requests per update below which a residence time
+	// counts as unknown.
 	minEndedPerUpdate = 0.25
-	// longestRunTime bounds a run time, in seconds.
+	// maxResidenceSeconds bounds a residence time, in seconds.
 	maxResidenceSeconds = 60.0
 )
 
-// runTime is how long a request stays at a member: what the requests of the last words
-// took together, in seconds, over their number.
+// residenceTime is how long a request stays at a member: the total time of the requests in the
+// last updates, in seconds, divided by their number.
 type residenceTime struct {
 	total float64
 	ended float64
@@ -38,7 +38,7 @@
 	r.ended += weight * (ended - r.ended)
 }
 
-// seconds returns the time, or otherwise where too little is known.
+// seconds returns the residence time, or fallback if too little is known.
 func (r residenceTime) seconds(fallback float64) float64 {
 	if r.ended < minEndedPerUpdate || r.total <= 0 {
 		return fallback
@@ -46,21 +46,22 @@
 	return min(r.total/r.ended, maxResidenceSeconds)
 }
 
-// pace is how long this gateway's own requests stay at a service's members, by Little's
-// law: the time that those under way spend there, over the number of those sent.
+// localResidence is how long this gateway's own requests stay at a service's members. By
+// Little's law that is the time accumulated by the requests in flight, divided by the number of
+// requests sent.
 type localResidence struct {
 	residence residenceTime
-	// sent counts the requests since the last note.
+	// sent counts the requests since note was last called.
 	sent int
 }
 
-// note takes the requests under way, after so much time since the last note.
+// note records the requests in flight, the given time after the last call.
 func (r *localResidence) note(inFlight int, elapsed time.Duration) {
 	r.residence.note(float64(inFlight)*min(elapsed, maxTotalsAge).Seconds(), float64(r.sent), localResidenceWeight)
 	r.sent = 0
 }
 
-// paceOf returns the pace of the service.
+// localResidenceOf returns the residence time of this gateway's requests to the service.
 func (c *Core) localResidenceOf(service string) *localResidence {
 	known := c.localResidences[service]
 	if known == nil {
@@ -70,7 +71,7 @@
 	return known
 }
 
-// notePaces takes the requests under way at all services.
+// noteLocalResidences records the requests in flight at each service.
 func (c *Core) noteLocalResidences(elapsed time.Duration) {
 	for service, pool := range c.pools {
 		inFlight := 0
@@ -81,7 +82,7 @@
 	}
 }
 
-// usualTime returns the time that a request stays at the members, in seconds.
+// meanResidence returns the mean time that a request stays at the members, in seconds.
 func (c *Core) meanResidence(service string, members []*member) float64 {
 	all := residenceTime{}
 	for _, m := range members {
@@ -94,15 +95,15 @@
 // share is a member's part in a spread.
 type share struct {
 	member *member
-	// slots is its size, and seconds the time that a request stays there.
+	// slots is the member's size, and residenceSeconds the time that a request stays there.
 	slots float64
-	// left is what is left at the member of the load that was told.
+	// remaining is what remains of the reported load after requests have ended since.
 	remaining        float64
 	residenceSeconds float64
 }
 
-// spread returns one of the members that have room by lot, or nil. The lot is a hash of
-// the request.
+// spread returns one of the members that have room, chosen at random by a hash of the request,
+// or nil.
 func (c *Core) spread(now time.Time, x *Exchange, candidates []*member) *member {
 	mean := c.meanResidence(x.service, candidates)
 	delay := c.propagationTime().Seconds()
@@ -121,7 +122,7 @@
 	return drawMember(x, c.shares, fillLevel(c.shares, requests))
 }
 
-// levelOf returns the load for each slot up to which so many requests fill the members.
+// fillLevel returns the load per slot up to which the requests fill the members.
 func fillLevel(shares []share, requests float64) float64 {
 	low, high := 0.0, 1.0
 	for requestsToLevel(shares, high) < requests && high < 1e6 {
@@ -147,8 +148,9 @@
 	return total
 }
 
-// drawShare draws a member. One that is filled with as many requests as another in half
-// the time gets them at twice the rate.
+// drawMember draws a member at random. A member's probability is proportional to the requests
+// that fill it, divided by their residence time: one that finishes requests in half the time
+// gets them at twice the rate.
 func drawMember(x *Exchange, shares []share, level float64) *member {
 	rate := func(each share) float64 { return max(0, level*each.slots-each.remaining) / each.residenceSeconds }
 	total := 0.0
--- a/internal/dispatch/totals.go
+++ b/internal/dispatch/totals.go
@@ -8,28 +8,28 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// In a large fleet a gateway can't hear all others. Their counts are added up on the way
-// (package collect), and each gateway gets the totals: the other gateways' part of them,
-// with its own requests of the moment, is its estimate of a load.
+// In a large fleet a gateway can't exchange loads with all others. Instead, the counts of all
+// gateways are summed up hierarchically (package collect), and each gateway gets the totals.
+// Its estimate of a load is the other gateways' part of the totals plus its own current load.
 
-// Count is what one gateway, or several together, have at one back end.
+// Count holds the counts of one gateway, or the sums of several, for one back end.
 type Count struct {
-	// Key stands for the back end's ID; see CountKey.
+	// Key identifies the back end; see CountKey.
 	Key uint32
-	// Requests counts those under way, and Wanted is the rate at which requests
-	// ask for it, in units of 1/wantedUnits a second.
+	// Requests counts the requests in flight, and Demand is the rate of requests for which
+	// the back end is considered, in units of 1/demandUnits per second.
 	Requests uint32
 	Demand   uint32
-	// Ended counts the requests that ended since the last word, and TookMillis is the
-	// time there of those without prompts, in milliseconds.
+	// Ended counts the requests that ended since the last report, and ResidenceMillis is the
+	// total time that those without prompts spent there, in milliseconds.
 	Ended           uint32
 	ResidenceMillis uint32
 }
 
-// SumKey is the key under which counts are added up.
+// SumKey returns the key under which counts are summed up.
 func (c Count) SumKey() uint32 { return c.Key }
 
-// Plus returns the sum of two counts of one back end.
+// Plus returns the sum of two counts for the same back end.
 func (c Count) Plus(other Count) Count {
 	c.Requests += other.Requests
 	c.Demand += other.Demand
@@ -38,7 +38,7 @@
 	return c
 }
 
-// Minus takes off what Plus had added.
+// Minus subtracts what Plus added.
 func (c Count) Minus(other Count) Count {
 	c.Requests -= other.Requests
 	c.Demand -= other.Demand
@@ -47,22 +47,22 @@
 	return c
 }
 
-// IsZero tells whether nothing is counted.
+// IsZero reports whether all counts are zero.
 func (c Count) IsZero() bool { return c == Count{Key: c.Key} }
 
-// wantedUnits is the resolution of Count.Wanted, in parts of one request a second: a
-// gateway among hundreds asks for a back end every few seconds.
+// demandUnits is the resolution of Count.Demand, in fractions of one request per second. It is
+// fine enough for a gateway among hundreds, which requests a back end only every few seconds.
 const demandUnits = 16
 
-// CountKeyBits is the length of a key. Two of 660 back ends share one with a chance of 1
-// in 77; both are then believed to have the load of both.
+// CountKeyBits is the length of a key. Among 660 back ends, two have the same key with a
+// probability of 1 in 77; each of them then seems to have the load of both.
 const CountKeyBits = 24
 
-// CountKey returns the key of a back end in counts.
+// CountKey returns the key that identifies a back end in counts.
 func CountKey(id string) uint32 { return uint32(xxhash.Sum64String(id)) % (1 << CountKeyBits) }
 
-// Counts returns what this gateway has at the back ends, without those where it has
-// nothing and wants nothing. What ended is told once.
+// Counts returns this gateway's counts for all back ends where any of them isn't zero. Ended
+// requests are reported once: each call resets their counts.
 func (c *Core) Counts(now time.Time) []Count {
 	var counts []Count
 	c.forEachMember(func(m *member) {
@@ -78,34 +78,33 @@
 	return counts
 }
 
-// Totals are the counts of all gateways together.
+// Totals are the summed counts of all gateways.
 type Totals struct {
 	// Counts holds one entry for each back end.
 	Counts []Count
-	// Tallies are those of moves to other versions.
+	// Tallies are the summed tallies of rollouts.
 	Tallies []rollout.Tally
-	// Counted is the number of gateways in it, and Expected that of the gateways that
-	// should be.
+	// Counted is the number of gateways included, and Expected the number that should be.
 	Counted  int
 	Expected int
 }
 
-// othersCount is what all other gateways together have at a back end.
+// othersLoad is the load of all other gateways together at a back end.
 type othersLoad struct {
 	requests float64
-	// wanted is in requests a second.
+	// demand is in requests per second.
 	demand float64
 }
 
-// freshTotals is the age to which totals count: several of their periods.
+// maxTotalsAge is the age up to which totals are used: several of their intervals.
 const maxTotalsAge = 1500 * time.Millisecond
 
-// fewestCounted is the part of the fleet, as one in so many gateways, that totals must
-// count: sums over fewer say little of the others.
+// minCountedDivisor sets the part of the fleet that totals must include: one in
+// minCountedDivisor gateways. Sums over fewer say little about the others.
 const minCountedDivisor = 3
 
-// TakeTotals takes the counts of all gateways, in which those that this one told, told,
-// are counted in.
+// ApplyTotals sets the totals of all gateways. They include the counts that this gateway
+// reported, which are subtracted.
 func (c *Core) ApplyTotals(now time.Time, reported []Count, totals Totals) {
 	if totals.Counted < 1 || totals.Counted*minCountedDivisor < c.gateways {
 		return
@@ -116,7 +115,7 @@
 	}
 	c.noteLocalResidences(elapsed)
 	c.totalsAt = now
-	// Gateways that weren't counted are taken to have as much as the others.
+	// Gateways that weren't counted are assumed to have the mean load of the others.
 	scale := 1.0
 	if totals.Counted > 1 && totals.Expected > totals.Counted {
 		scale = float64(totals.Expected-1) / float64(totals.Counted-1)
@@ -133,7 +132,7 @@
 	})
 }
 
-// byKey returns counts or tallies by the key under which they are added up.
+// byKey indexes counts or tallies by the key under which they are summed up.
 func byKey[K comparable, C interface{ SumKey() K }](list []C) map[K]C {
 	index := make(map[K]C, len(list))
 	for _, each := range list {
@@ -142,10 +141,10 @@
 	return index
 }
 
-// totalsAreFresh tells whether the last totals still say what the other gateways have.
+// totalsAreFresh reports whether the last totals are recent enough to be used.
 func (c *Core) totalsAreFresh(now time.Time) bool { return now.Sub(c.totalsAt) <= maxTotalsAge }
 
-// everyMember visits the listed and the lapsed members.
+// forEachMember calls visit for the listed and the lapsed members.
 func (c *Core) forEachMember(visit func(m *member)) {
 	for _, pool := range c.pools {
 		for _, m := range pool.members {
