--- a/internal/dispatch/warmup.go
+++ b/internal/dispatch/warmup.go
@@ -9,58 +9,59 @@
 	"github.com/harriernotch/harriernotch/internal/routing"
 )
 
-// A back end that has just started, or says that it is cold again, bears few requests a
-// second from all gateways together, and falls over above. Gateways can't ask each other
-// before each request, so the limit is divided without a message: for each back end that
-// warms up, a few gateways are drawn by rendezvous hashing over the known ones, and only
-// those send there, each a fixed number of requests in any second. Dividing it among all
-// gateways fails where there are more gateways than requests: each share is then below
-// one request, and a share can't be spent in parts.
+// A back end that has just started, or reports that it is cold again, can serve only few
+// requests per second from all gateways together, and breaks down above that. Gateways can't
+// coordinate for each request, so the limit is divided without messages: for each back end that
+// is warming up, a few gateways are selected by rendezvous hashing over the known gateways.
+// Only these send there, each a fixed number of requests in any second. Dividing the limit among
+// all gateways would fail if there are more gateways than requests: each share would be less
+// than one request, and a gateway can't send a fraction of a request.
 //
-// Gateways whose lists differ draw different ones. So gateways that have fallen silent
-// keep their share, one whose list has just grown sends nothing there, and part of the
-// limit isn't given away at all.
+// Gateways with different lists of gateways select different ones. Three rules keep the sum
+// within the limit all the same: gateways that have fallen silent keep their share, a gateway
+// whose list has just grown sends nothing to these back ends, and part of the limit isn't
+// allocated at all.
 
 const (
-	// givenShare is the part of a limit that is divided among gateways. The rest covers
-	// gateways whose lists differ. A higher share serves more from back ends that warm up.
+	// allocatedShare is the part of a limit that is divided among gateways. The rest covers
+	// gateways whose lists differ. A higher share makes more use of back ends that warm up.
 	allocatedShare = 0.8
-	// fewestEach is the share of a drawn gateway, in requests, as long as there are
-	// enough gateways: one request would leave it idle for most of each second.
+	// requestsPerGateway is the share of a selected gateway, in requests, if there are enough
+	// gateways. With a share of one request it would be idle for most of each second.
 	requestsPerGateway = 2
-	// warmUpWindow is the time in which a gateway sends its share at most: the second of
-	// the limit, and what a request may be delayed here between its decision and its
+	// warmUpWindow is the time in which a gateway sends at most its share: the one second of
+	// the limit plus the delay that a request may have here between its decision and its
 	// sending.
 	warmUpWindow = 1100 * time.Millisecond
-	// fleetSettles is how long the list of gateways mustn't have grown before a draw
-	// counts. A process that has just started knows few of the others, and one that it
-	// replaces may have sent its share a moment ago.
+	// fleetSettleTime is how long the list of gateways must not have grown before a selection
+	// is used. A process that has just started knows few of the other gateways, and the
+	// process that it replaces may have sent its share a moment ago.
 	fleetSettleTime = 2 * time.Second
-	// aloneAfter is how long a gateway must have known nobody to take itself for alone
-	// where its settings name no other: others that start with it may try it again only
-	// seconds later.
+	// soleGatewayDelay is how long a gateway without seeds must have known no other gateway
+	// before it assumes that it is the only one. Gateways that start at the same time may take
+	// seconds until they try to reach it again.
 	soleGatewayDelay = 10 * time.Second
 )
 
-// Fleet is what a gateway knows of the others.
+// Fleet is what a gateway knows of the other gateways.
 type Fleet struct {
-	// Self is its own ID.
+	// Self is the gateway's own ID.
 	Self string
-	// Known are the others heard of in the last minutes, silent ones included.
+	// Known are the IDs of the others seen in the last minutes, including silent ones.
 	Known []string
-	// HasSeeds is true when the settings name others: a gateway that has seeds and knows
-	// nobody isn't alone.
+	// HasSeeds is true if the settings name other gateways. A gateway that has seeds but
+	// knows no other gateway isn't the only one.
 	HasSeeds bool
 }
 
-// draw is the list of gateways among which those are drawn that may use a back end that
-// warms up.
+// gatewaySelection selects, among the known gateways, those that may use a back end that is
+// warming up.
 type gatewaySelection struct {
 	self   uint64
 	others map[string]uint64
-	// hasSeeds is that of Fleet.
+	// hasSeeds is Fleet.HasSeeds.
 	hasSeeds bool
-	// grewAt is when a gateway was added last, and version counts the changes.
+	// grewAt is when a gateway was last added, and version counts the changes of the list.
 	grewAt  time.Time
 	version int
 }
@@ -87,7 +88,7 @@
 	}
 }
 
-// isOf tells whether the draw is among the gateways of the fleet.
+// matches reports whether the known gateways are exactly those of the fleet.
 func (s *gatewaySelection) matches(fleet Fleet) bool {
 	if s.others == nil || len(s.others) != len(fleet.Known) {
 		return false
@@ -100,13 +101,13 @@
 	return true
 }
 
-// settled tells whether the list is old enough to be acted on. A core without a fleet is
-// alone.
+// isSettled reports whether the list is old enough to be used. A core that was never given a
+// fleet is the only gateway.
 func (s *gatewaySelection) isSettled(now time.Time) bool {
 	return s.others == nil || now.Sub(s.grewAt) >= fleetSettleTime
 }
 
-// mayBeCutOff tells whether nobody is known though others may be there.
+// mayBePartitioned reports whether no other gateway is known although there may be some.
 func (s *gatewaySelection) mayBePartitioned(now time.Time) bool {
 	if s.others == nil || len(s.others) > 0 {
 		return false
@@ -114,7 +115,7 @@
 	return s.hasSeeds || now.Sub(s.grewAt) < soleGatewayDelay
 }
 
-// drawn tells whether this gateway is one of so many that are drawn for the member.
+// selects reports whether this gateway is one of the count gateways selected for the member.
 func (s *gatewaySelection) selects(m *member, count int) bool {
 	if m.selectionVersion == s.version && m.selectionCount == count {
 		return m.selected
@@ -130,7 +131,7 @@
 	return m.selected
 }
 
-// HasWarmUps tells whether the back ends of any service bear few requests after a start.
+// HasWarmUps reports whether the back ends of any service have a limited rate after a start.
 func (c *Core) HasWarmUps() bool {
 	for _, each := range c.services {
 		if each.WarmUpRate > 0 && each.WarmUpTime > 0 {
@@ -140,14 +141,15 @@
 	return false
 }
 
-// warmsUp tells whether the member bears few requests at the moment.
+// isWarmingUp reports whether the member's request rate is currently limited.
 func (c *Core) isWarmingUp(now time.Time, m *member) bool {
 	return (m.mayHaveRestarted || now.Before(m.coldUntil)) && c.services[m.backEnd.Service].WarmUpRate > 0 && !c.config.Disabled[WarmUpLimit]
 }
 
-// presumeStart takes a back end that has crashed, or was away after requests broke off there,
-// for one that has started again: it is cold until its entry says otherwise. Where requests
-// broke off at half of a pool or more, it is this gateway that was cut off.
+// presumeRestart assumes that a back end that has crashed, or was away after connections to it
+// were lost, has restarted. It then counts as cold until its entry says otherwise. If connections
+// were lost at half of a pool or more, no restart is assumed, since this gateway itself was
+// probably disconnected.
 func (c *Core) presumeRestart(m *member) {
 	pool := c.pools[m.backEnd.Service]
 	if pool == nil {
@@ -162,8 +164,8 @@
 	m.mayHaveRestarted = 2*crashed < len(pool.members)
 }
 
-// noteReturn takes the first answer of a back end after its crash for the beginning of its
-// warm-up, unless its entry has told of it.
+// noteRestarted begins the warm-up of a back end with its first answer after its crash. If the
+// list reports the new incarnation first, that is a new member with a warm-up of its own.
 func (c *Core) noteRestarted(now time.Time, m *member) {
 	if m.mayHaveRestarted {
 		m.mayHaveRestarted = false
@@ -171,7 +173,7 @@
 	}
 }
 
-// warmUpShare returns how many requests this gateway may send to the member in a second.
+// warmUpShare returns how many requests per second this gateway may send to the member.
 func (c *Core) warmUpShare(now time.Time, m *member) int {
 	allocation := c.warmUpAllocation(m)
 	if allocation == 0 || !c.selection.isSettled(now) {
@@ -191,15 +193,15 @@
 	return allocation / count
 }
 
-// warmUpGiven returns how many requests a second are divided among the gateways: at least
-// one, unless the limit is below that.
+// warmUpAllocation returns how many requests per second are divided among the gateways: at
+// least one, unless the limit is below that.
 func (c *Core) warmUpAllocation(m *member) int {
 	limit := c.services[m.backEnd.Service].WarmUpRate*c.config.WarmUpOverage + c.config.WarmUpExtra
 	return max(int(allocatedShare*limit), min(1, int(limit)))
 }
 
-// warmUpAllows tells whether this gateway's share of a member that warms up leaves room
-// for a request.
+// hasWarmUpQuota reports whether this gateway's share of a member that is warming up leaves
+// room for a request.
 func (c *Core) hasWarmUpQuota(now time.Time, m *member) bool {
 	share := c.warmUpShare(now, m)
 	recent := m.warmUpSends[:0]
@@ -212,9 +214,9 @@
 	return len(recent) < share
 }
 
-// withoutSpent returns the candidates without those that warm up and whose share is
-// spent. The others are chosen from as if they were warm: their caches fill at the pace
-// that they bear, and parts whose order is theirs come home while they do.
+// withWarmUpQuota returns the candidates without those whose warm-up quota is used up. The
+// others are treated as if they were warm: their caches fill at the rate that they can serve,
+// and parts that rank them first are placed on them meanwhile.
 func (c *Core) withWarmUpQuota(now time.Time, candidates []*member) []*member {
 	c.withQuota = c.withQuota[:0]
 	for _, m := range candidates {
@@ -225,7 +227,7 @@
 	return c.withQuota
 }
 
-// noteWarming takes what the store says of a back end's warm-up, when that has changed.
+// updateWarmUp applies a change of the warm-up that the store's entry states for a back end.
 func (c *Core) updateWarmUp(now time.Time, m *member, entry catalog.BackEnd) {
 	if m.listed && m.backEnd.WarmUp == entry.WarmUp && m.backEnd.WarmUpAt == entry.WarmUpAt {
 		return
--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -12,7 +12,7 @@
 	_ "github.com/harriernotch/harriernotch/internal/fixedseed"
 )
 
-// coldBackEnds returns back ends of which the last ones warm up.
+// coldBackEnds returns back ends of which the last ones are warming up.
 func coldBackEnds(count, cold int) []catalog.BackEnd {
 	list := backEnds(count, 64)
 	for i := count - cold; i < count; i++ {
@@ -21,7 +21,7 @@
 	return list
 }
 
-// warmingFleet returns cores that know each other, in front of the back ends.
+// newWarmUpFleet returns cores of gateways that know each other and use the back ends.
 func newWarmUpFleet(gateways int, rate float64, list []catalog.BackEnd) []*Core {
 	cores := make([]*Core, gateways)
 	for i := range cores {
@@ -35,7 +35,7 @@
 	return cores
 }
 
-// fleetOf is what the gateway with the number knows when it heard of those in the range.
+// knownFleet returns the Fleet of gateway number self that knows the gateways from up to to.
 func knownFleet(self, from, to int) Fleet {
 	fleet := Fleet{Self: fmt.Sprint("g", self), HasSeeds: to-from > 1}
 	for i := from; i < to; i++ {
@@ -46,8 +46,9 @@
 	return fleet
 }
 
-// flood sends as many requests as the gateways take for a while, and returns the most
-// that one back end that warms up got in one second, and the number of refusals.
+// flood sends requests to the gateways at a constant rate. It returns the most requests that one
+// warming back end got within a second, the number of requests that warming back ends got in all,
+// and the number of refusals.
 func flood(cores []*Core, perSecond int, duration time.Duration) (peak, sent, refused int) {
 	times := map[string][]time.Time{}
 	requests := int(float64(perSecond) * duration.Seconds())
@@ -78,7 +79,7 @@
 	return peak, sent, refused
 }
 
-// A burst that the warm ones could serve: the others fill their caches meanwhile.
+// The warm back ends could serve this burst alone, but the cold ones fill their caches meanwhile.
 func TestWarmingBackEndsServeRequests(t *testing.T) {
 	is := is.New(t)
 	peak, sent, refused := flood(newWarmUpFleet(23, 23, coldBackEnds(42, 11)), 900, 2900*time.Millisecond)
@@ -87,7 +88,7 @@
 	is.Equal(refused, 0)
 }
 
-// All back ends are cold, and far more is asked of them than they bear.
+// All back ends are cold, and the request rate is far above what they can serve.
 func TestFleetStaysWithinWarmUpLimit(t *testing.T) {
 	for _, gateways := range []int{1, 2, 5, 23, 100, 340} {
 		for _, rate := range []float64{2, 6, 23} {
@@ -96,15 +97,15 @@
 				limit := rate*1.5 + 5
 				peak, sent, _ := flood(newWarmUpFleet(gateways, rate, coldBackEnds(5, 5)), 1500, 2900*time.Millisecond)
 				is.True(float64(peak) <= limit)
-				// At least a third of what the back ends bear is used.
+				// At least a third of what the back ends can serve is used.
 				is.True(float64(sent) >= 5*limit*2.9/3)
 			})
 		}
 	}
 }
 
-// Gateways that heard of different others draw different ones; the part of the limit that
-// isn't given away bears it.
+// Gateways that know different gateways select different ones. The part of the limit that isn't
+// allocated absorbs the difference.
 func TestWarmUpLimitHoldsWhenFleetViewsDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gateways := rapid.IntRange(2, 40).Draw(t, "gateways")
@@ -128,18 +129,18 @@
 	})
 }
 
-// A process that has just started knows few others: it must not take all for itself.
+// A process that has just started knows few other gateways, and must not use the whole limit.
 func TestStartingGatewaySendsNothingToColdBackEndsUntilFleetSettles(t *testing.T) {
 	is := is.New(t)
 	core := newWarmUpFleet(1, 23, coldBackEnds(2, 2))[0]
-	core.SetFleet(start, knownFleet(0, 0, 3)) // two more have been heard of
+	core.SetFleet(start, knownFleet(0, 0, 3)) // two other gateways were discovered just now
 	peak, _, _ := flood([]*Core{core}, 500, fleetSettleTime-time.Millisecond)
 	is.Equal(peak, 0)
 	peak, _, _ = flood([]*Core{core}, 500, 2900*time.Millisecond)
 	is.True(peak > 0)
 }
 
-// One that has seeds and hears nobody is cut off rather than alone.
+// A gateway that has seeds but knows no other gateway is partitioned rather than alone.
 func TestPartitionedGatewayUsesMinimalWarmUpShare(t *testing.T) {
 	is := is.New(t)
 	core := newWarmUpFleet(1, 23, coldBackEnds(1, 1))[0]
@@ -148,12 +149,12 @@
 	is.Equal(peak, 1)
 }
 
-// Where its settings name no other either, others may still find it.
+// Other gateways may still discover one whose settings name no others.
 func TestStartingGatewayWithoutSeedsIsNotAssumedAlone(t *testing.T) {
 	is := is.New(t)
 	core := newWarmUpFleet(1, 23, coldBackEnds(1, 1))[0]
 	core.SetFleet(start.Add(-time.Minute), knownFleet(0, 0, 2))
-	core.SetFleet(start.Add(-time.Minute), Fleet{Self: "g0"}) // forgotten
+	core.SetFleet(start.Add(-time.Minute), Fleet{Self: "g0"}) // the other gateway is forgotten
 	other := newCore(nil)
 	other.config.WarmUpOverage, other.config.WarmUpExtra = 1.5, 5
 	other.SetServices([]catalog.Service{{Name: "s", WarmUpRate: 23, WarmUpTime: 3 * time.Second}})
@@ -169,7 +170,7 @@
 	is := is.New(t)
 	core := newWarmUpFleet(1, 23, coldBackEnds(1, 1))[0]
 	peak, _, _ := flood([]*Core{core}, 500, 2900*time.Millisecond)
-	is.Equal(peak, 31) // of 39.5
+	is.Equal(peak, 31) // of 39.5 allowed
 }
 
 func TestBackEndTurningColdIsLimitedAtOnce(t *testing.T) {
@@ -177,7 +178,7 @@
 	list := backEnds(1, 64)
 	core := newWarmUpFleet(1, 2, list)[0]
 	peak, _, _ := flood([]*Core{core}, 100, time.Second)
-	is.Equal(peak, 0) // warm: nothing counts
+	is.Equal(peak, 0) // warm, so nothing is counted
 	list[0].WarmUp = 2 * time.Second
 	core.SetBackEnds(start, list)
 	is.True(core.BackEndStatuses(start)[0].WarmsUp)
@@ -192,14 +193,14 @@
 	list[0].WarmUpAt = catalog.Position{Revision: 4}
 	core := newWarmUpFleet(1, 2, list)[0]
 	later := start.Add(2 * time.Second)
-	core.SetBackEnds(later, list) // for another reason
+	core.SetBackEnds(later, list) // an update for another reason
 	is.True(!core.BackEndStatuses(later.Add(2 * time.Second))[0].WarmsUp)
 	list[0].WarmUpAt = catalog.Position{Revision: 9}
 	core.SetBackEnds(later, list)
 	is.True(core.BackEndStatuses(later.Add(2 * time.Second))[0].WarmsUp)
 }
 
-// Without a rate in the configuration a cold back end is as able as a warm one.
+// Without a rate in the configuration a cold back end may get as many requests as a warm one.
 func TestServiceWithoutWarmUpRateIsNotLimited(t *testing.T) {
 	is := is.New(t)
 	core := newCore(coldBackEnds(1, 1))
--- a/internal/dispatch/withhold.go
+++ b/internal/dispatch/withhold.go
@@ -10,37 +10,37 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// A request that crashes the back ends which run it is withheld by all gateways once three
-// have crashed under its content. A break alone proves no crash, and most requests that are
-// under way at a crash have nothing to do with it. So a break doesn't count if the back end
-// answers anything later, nor if it was about to leave, and none does if the content is ever
-// answered whole.
+// A request that crashes the back ends that run it is withheld by all gateways once three back
+// ends have crashed under its content. A lost connection alone doesn't prove a crash, and most
+// requests in flight during a crash didn't cause it. So a lost connection doesn't count if the
+// back end answers anything later, or if the back end was about to leave. And no crash counts
+// once a request with the content is answered completely.
 
-// CrashRecord is what a gateway tells of the crashes under requests of one content.
+// CrashRecord holds what a gateway reports to others of the crashes under one content.
 type CrashRecord struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
-	// Incarnations are the back ends that may have crashed under it, and Evidence what is
-	// known of each.
+	// Incarnations are the back ends that may have crashed under the content, and Evidence the
+	// evidence for each.
 	Incarnations []uint32 `cbor:"2,keyasint"`
 	Evidence     []uint8  `cbor:"3,keyasint"`
-	// LastAt is when the last of them did, in seconds since 1970.
+	// LastAt is when the last of them crashed, in seconds since 1970.
 	LastAt int64 `cbor:"4,keyasint"`
 }
 
-// WithheldChange tells that requests of a content are withheld from now on, or no longer.
+// WithheldChange records that a content has become withheld or was released.
 type WithheldChange struct {
 	Record   CrashRecord
 	Withheld bool
-	// Own is true for what this gateway has observed itself, at least in part.
+	// Own is true if the change is based on this gateway's own observations, at least in part.
 	Own bool
 }
 
-// incarnationOf returns what stands for this life of the back end among gateways.
+// incarnationKeyOf returns the key that identifies the back end's incarnation among gateways.
 func incarnationKeyOf(backEnd catalog.BackEnd) incarnationKey {
 	return incarnationKey(xxhash.Sum64String(backEnd.ID + "@" + strconv.FormatInt(backEnd.Born, 10)))
 }
 
-// contents returns the fingerprints of the request.
+// contentFingerprints returns the fingerprints of the request's content.
 func (x *Exchange) contentFingerprints() []Fingerprint {
 	if x.fingerprints == nil && x.request.Fingerprints != nil {
 		x.fingerprints = x.request.Fingerprints()
@@ -48,7 +48,7 @@
 	return x.fingerprints
 }
 
-// noteBreak notes that the request broke off at the member.
+// noteConnectionLost records that the request's connection to the member was lost.
 func (c *Core) noteConnectionLost(now time.Time, x *Exchange, m *member) {
 	if m.backEnd.Leaving || c.config.Disabled[Withholding] {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// noteLife notes that the member answered the current attempt.
+// noteAnswered records that the member answered the current attempt.
 func (c *Core) noteAnswered(now time.Time, x *Exchange, m *member) {
 	if len(c.crashes.lostAt) > 0 && c.crashes.answered(now, incarnationKeyOf(m.backEnd), x.sentAt) {
 		c.presumeRestart(m)
@@ -66,14 +66,14 @@
 	c.noteRestarted(now, m)
 }
 
-// noteEnd notes that the member's incarnation isn't there any more.
+// noteGone records that the member's incarnation no longer exists.
 func (c *Core) noteGone(m *member) {
 	if len(c.crashes.lostAt) > 0 && c.crashes.confirmGone(incarnationKeyOf(m.backEnd)) {
 		c.presumeRestart(m)
 	}
 }
 
-// withholds tells whether the request is of a content that crashes back ends.
+// withholds reports whether the request has a content that crashes back ends.
 func (c *Core) withholds(now time.Time, x *Exchange) bool {
 	c.crashes.publishDue(now)
 	if c.crashes.withheld.Len() == 0 || c.config.Disabled[Withholding] {
@@ -82,14 +82,14 @@
 	return slices.ContainsFunc(x.contentFingerprints(), func(each Fingerprint) bool { return c.crashes.withholds(now, each) })
 }
 
-// Completed notes that the caller has a back end's whole answer.
+// Completed records that the caller has the back end's complete answer.
 func (c *Core) Completed(x *Exchange) {
 	x.completed = true
 	c.clearContents(x)
 }
 
-// acquit notes that a back end answered the request whole, so that it doesn't crash what runs
-// it.
+// clearContents records that a back end answered the request completely, so the request's content
+// doesn't crash back ends.
 func (c *Core) clearContents(x *Exchange) {
 	if c.crashes.isEmpty() {
 		return
@@ -99,24 +99,24 @@
 	}
 }
 
-// ReleaseWithheld acquits a content at an operator's word, and tells whether it was withheld.
+// ReleaseWithheld clears a content on an operator's request, and reports whether it was withheld.
 func (c *Core) ReleaseWithheld(fingerprint Fingerprint) bool {
 	isWithheld := c.crashes.withheld.Contains(fingerprint)
 	c.crashes.clearContent(fingerprint)
 	return isWithheld
 }
 
-// CrashChanges returns the number of changes of what peers are told of crashes.
+// CrashChanges returns the number of changes so far that are published to peers.
 func (c *Core) CrashChanges() uint64 { return c.crashes.changes }
 
-// CrashesSince returns at most so many records that peers may lack after the number, and the
-// number to go on from. The first number is 0.
+// CrashesSince returns at most limit records that changed after the cursor, and the next
+// cursor. The first cursor is 0.
 func (c *Core) CrashesSince(now time.Time, cursor uint64, limit int) ([]CrashRecord, uint64) {
 	c.crashes.publishDue(now)
 	return c.crashes.changedSince(cursor, limit)
 }
 
-// TakeCrashes takes what a peer, or the platform's store, tells of crashes.
+// MergeCrashes merges crash records of a peer or the store.
 func (c *Core) MergeCrashes(now time.Time, list []CrashRecord) {
 	if c.config.Disabled[Withholding] {
 		return
@@ -126,15 +126,15 @@
 	}
 }
 
-// TakeWithheldChanges returns the contents that became withheld, or are no longer, since the
-// last call.
+// TakeWithheldChanges returns the contents that became withheld or were released since the last
+// call, and clears them.
 func (c *Core) TakeWithheldChanges() []WithheldChange {
 	changed := c.crashes.withheldChanges
 	c.crashes.withheldChanges = nil
 	return changed
 }
 
-// WithheldRecords returns the records of the contents that are withheld.
+// WithheldRecords returns the records of the withheld contents.
 func (c *Core) WithheldRecords() []CrashRecord {
 	var records []CrashRecord
 	for _, fingerprint := range c.Withheld() {
@@ -145,12 +145,12 @@
 	return records
 }
 
-// Withheld returns the fingerprints of the contents that are withheld, in order.
+// Withheld returns the fingerprints of the withheld contents in ascending order.
 func (c *Core) Withheld() []Fingerprint {
 	return slices.Sorted(slices.Values(c.crashes.withheld.Keys()))
 }
 
-// IsOutdated tells whether requests of the content are no longer withheld for these crashes.
+// IsExpired reports whether the last crash is so long ago that the content is no longer withheld.
 func (r CrashRecord) IsExpired(now time.Time) bool {
 	return now.Sub(time.Unix(r.LastAt, 0)) > withholdTime
 }
