--- a/internal/admission/bound.go
+++ b/internal/admission/bound.go
@@ -51,9 +51,9 @@
 	if p.Disabled {
 		return Limit{Max: math.MaxInt32}
 	}
-	others = replace(others, evidence)
+	others = withEvidence(others, evidence)
 	mean := p.mean(now, own, others)
-	if len(evidence) < min(fullEvidence, len(others)) {
+	if len(evidence) < min(sufficientEvidence, len(others)) {
 		mean -= p.margin(now, others, service)
 	}
 	return Limit{Max: p.round(mean), Mean: mean}
@@ -62,21 +62,21 @@
 // fullEvidence is the number of refusals after which the estimate is no longer
 // lowered. A margin that stayed could make a pool with equal loads refuse
 // everywhere, and so stay as it is.
-const fullEvidence = 4
+const sufficientEvidence = 4
 
 // replace returns others with the loads of the evidence in their place.
-func replace(others, evidence []ObservedLoad) []ObservedLoad {
+func withEvidence(others, evidence []ObservedLoad) []ObservedLoad {
 	if len(evidence) == 0 {
 		return others
 	}
 	replaced := slices.Clone(others)
-	for _, met := range evidence {
-		at := slices.IndexFunc(replaced, func(other ObservedLoad) bool { return other.Member == met.Member })
+	for _, reported := range evidence {
+		at := slices.IndexFunc(replaced, func(other ObservedLoad) bool { return other.Member == reported.Member })
 		switch {
 		case at < 0:
-			replaced = append(replaced, met)
-		case replaced[at].At.Before(met.At):
-			replaced[at] = met
+			replaced = append(replaced, reported)
+		case replaced[at].At.Before(reported.At):
+			replaced[at] = reported
 		}
 	}
 	return replaced
@@ -87,15 +87,15 @@
 // bound more rarely and refuses more. Rounding down lowers the bound by half a
 // request on average already. docs/DESIGN.md has the measurements.
 const (
-	confidenceUp   = 2.5
-	confidenceDown = 0.5
+	confidenceRoundUp   = 2.5
+	confidenceRoundDown = 0.5
 )
 
 func (p BoundPolicy) confidence() float64 {
 	if p.RoundDown {
-		return confidenceDown
+		return confidenceRoundDown
 	}
-	return confidenceUp
+	return confidenceRoundUp
 }
 
 // margin is how far the true mean may be below the estimate. Requests that come
@@ -109,15 +109,15 @@
 	variance := 0.0
 	for _, other := range others {
 		age := min(max(now.Sub(other.At), 0), p.Window)
-		forgotten := 1 - math.Exp(-age.Seconds()/service.Seconds())
-		variance += 2 * float64(max(1, other.Load)) * forgotten
+		turnover := 1 - math.Exp(-age.Seconds()/service.Seconds())
+		variance += 2 * float64(max(1, other.Load)) * turnover
 	}
-	changed := p.confidence() * math.Sqrt(variance)
+	margin := p.confidence() * math.Sqrt(variance)
 	// Half of the variance is the expected number of requests that ended.
 	if variance/2 > upperTail(p.confidence()) {
-		changed = math.Ceil(changed)
+		margin = math.Ceil(margin)
 	}
-	return changed / float64(len(others)+1)
+	return margin / float64(len(others)+1)
 }
 
 // upperTail is the probability that a normal variable lies more than so many
--- a/internal/admission/bound_test.go
+++ b/internal/admission/bound_test.go
@@ -13,7 +13,7 @@
 func TestLimitFor(t *testing.T) {
 	up := BoundPolicy{Multiple: 1.25, Window: time.Second}
 	down := BoundPolicy{Multiple: 1.25, Window: time.Second, RoundDown: true}
-	old := []ObservedLoad{{Load: 50, At: start.Add(-2 * time.Second)}}
+	stale := []ObservedLoad{{Load: 50, At: start.Add(-2 * time.Second)}}
 	cases := map[string]struct {
 		policy   BoundPolicy
 		own      int
@@ -30,11 +30,11 @@
 		"mean 8.25 up":                        {up, 8, observed(8, 8, 8), nil, 11},
 		"mean 8.25 down":                      {down, 8, observed(8, 8, 8), nil, 10},
 		"down never below the rounded mean":   {down, 1, observed(1, 1, 2), nil, 2},
-		"an old high load can't raise":        {up, 1, append(observed(1), old...), nil, 2},
-		"nor can it beside a high own load":   {up, 11, append(observed(3), old...), nil, 8},
-		"nothing fresh: the old is believed":  {up, 1, old, nil, 33},
-		"evidence replaces what was observed": {up, 1, observed(1, 1), met(6, 6), 6},
-		"evidence of one member":              {up, 1, observed(1, 1), met(6), 4},
+		"an old high load can't raise":        {up, 1, append(observed(1), stale...), nil, 2},
+		"nor can it beside a high own load":   {up, 11, append(observed(3), stale...), nil, 8},
+		"nothing fresh: the old is believed":  {up, 1, stale, nil, 33},
+		"evidence replaces what was observed": {up, 1, observed(1, 1), newerObserved(6, 6), 6},
+		"evidence of one member":              {up, 1, observed(1, 1), newerObserved(6), 4},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 
 // TestSomeMemberAlwaysHasRoom: whatever the loads, a member with the least load
 // that knows them all admits, so that a pool never refuses everywhere.
-func TestSomeMemberAlwaysHasRoom(t *testing.T) {
+func TestLeastLoadedMemberAlwaysAdmits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		loads := rapid.SliceOfN(rapid.IntRange(0, 60), 1, 30).Draw(t, "loads")
 		policy := BoundPolicy{Multiple: rapid.Float64Range(1.05, 3).Draw(t, "c"), RoundDown: rapid.Bool().Draw(t, "down"), Window: time.Second}
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -24,7 +24,7 @@
 	Affine bool
 	// Last says that its router makes no further attempt, so it may wait a moment
 	// rather than be refused.
-	Last bool
+	LastAttempt bool
 	// Evidence holds the loads met where the request was refused before.
 	Evidence []ObservedLoad
 	// Key is set for an unrepeatable request with a key that this agent owns.
@@ -59,7 +59,7 @@
 type Leave struct{}
 
 // Rest closes the gate for a while: the back end has asked to be left alone for so long.
-type Rest struct{ For time.Duration }
+type BackOff struct{ For time.Duration }
 
 // Tick lets time-based decisions take place.
 type Tick struct{}
@@ -70,7 +70,7 @@
 func (PoolObserved) isEvent() {}
 func (Configured) isEvent()   {}
 func (Leave) isEvent()        {}
-func (Rest) isEvent()         {}
+func (BackOff) isEvent()      {}
 func (Tick) isEvent()         {}
 
 // Action is something the owner must do; see the types below.
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -24,8 +24,8 @@
 	// bound rises with the news of a risen mean, over one window of it after the other;
 	// a caller that is refused meanwhile comes back to the same wait. Higher values refuse
 	// less while a pool fills, and hold longer what is refused in the end.
-	OwnerWait time.Duration
-	LastWait  time.Duration
+	OwnerWait       time.Duration
+	LastAttemptWait time.Duration
 	// MaxRunning is how many requests run at a time.
 	MaxRunning int
 	// MaxQueued is how many accepted requests may wait to run.
@@ -35,7 +35,7 @@
 }
 
 // accepted is a request under the bound: running or queued.
-type accepted struct {
+type acceptedRequest struct {
 	request   Request
 	limit     int
 	startedAt time.Time
@@ -43,30 +43,30 @@
 }
 
 // assumedService stands for the service time until a request has finished.
-const assumedService = time.Second
+const defaultServiceTime = time.Second
 
 // serviceSmoothing is the weight of a new service time in the running average.
-const serviceSmoothing = 0.1
+const serviceTimeSmoothing = 0.1
 
 // Gate admits requests to one back end.
 type Gate struct {
-	config  Config
-	once    *onceTable
-	others  []ObservedLoad
-	waiters []waiter
-	queue   *fairQueue
-	held    map[RequestID]*accepted
-	running int
-	leaving bool
+	config   Config
+	keys     *keyTable
+	others   []ObservedLoad
+	waiters  []waiter
+	queue    *fairQueue
+	accepted map[RequestID]*acceptedRequest
+	running  int
+	leaving  bool
 	// restUntil is until when the back end wants nothing.
-	restUntil time.Time
+	backOffUntil time.Time
 	// service is the average time a request runs; 0 until one finished.
-	service time.Duration
+	meanServiceTime time.Duration
 }
 
 // NewGate returns an empty gate.
-func NewGate(config Config, once OnceConfig) *Gate {
-	g := &Gate{once: newOnceTable(once), queue: newFairQueue(), held: map[RequestID]*accepted{}}
+func NewGate(config Config, keys KeyTableConfig) *Gate {
+	g := &Gate{keys: newKeyTable(keys), queue: newFairQueue(), accepted: map[RequestID]*acceptedRequest{}}
 	g.configure(config)
 	return g
 }
@@ -78,7 +78,7 @@
 
 // Load returns the number of accepted requests that have not finished: those
 // that run and those that are queued. It is the load that the bound speaks of.
-func (g *Gate) Load() int { return len(g.held) }
+func (g *Gate) Load() int { return len(g.accepted) }
 
 // Running returns the number of requests at the back end.
 func (g *Gate) Running() int { return g.running }
@@ -111,8 +111,8 @@
 		return g.admitWaiters(now)
 	case Leave:
 		return g.leave()
-	case Rest:
-		return g.rest(now, e.For)
+	case BackOff:
+		return g.backOff(now, e.For)
 	case Tick:
 		return g.tick(now)
 	}
@@ -131,23 +131,23 @@
 			return []Action{action}
 		}
 	}
-	if left := g.restUntil.Sub(now); left > 0 {
+	if left := g.backOffUntil.Sub(now); left > 0 {
 		return []Action{g.refuseReleasing(request, failure.QueueFull, left)}
 	}
 	limit := g.limitFor(now, request)
 	if g.Load()+1 <= limit.Max {
 		return g.accept(now, request, limit.Max)
 	}
-	if wait := g.waitFor(request); wait > 0 && len(g.waiters) < maxWaiters {
-		return g.hold(now, request, wait)
+	if wait := g.boundWait(request); wait > 0 && len(g.waiters) < maxWaiters {
+		return g.addWaiter(now, request, wait)
 	}
-	return []Action{g.refuseReleasing(request, failure.OverBound, g.expectedRoom())}
+	return []Action{g.refuseReleasing(request, failure.OverBound, g.expectedFinish())}
 }
 
 // checkKey answers keyed requests that must not run; settled is false when the
 // request may go on, and its key is then remembered.
 func (g *Gate) checkKey(now time.Time, request Request) (action Action, settled bool) {
-	verdict, outcome := g.once.begin(now, *request.Key)
+	verdict, outcome := g.keys.begin(now, *request.Key)
 	switch verdict {
 	case verdictReplay:
 		return Replay{ID: request.ID, Outcome: outcome}, true
@@ -171,16 +171,16 @@
 // serviceTime returns how long a request takes here, and so at the pool's other
 // members.
 func (g *Gate) serviceTime() time.Duration {
-	if g.service <= 0 {
-		return assumedService
+	if g.meanServiceTime <= 0 {
+		return defaultServiceTime
 	}
-	return g.service
+	return g.meanServiceTime
 }
 
 // accept takes the request under the bound; it runs at once or is queued.
 func (g *Gate) accept(now time.Time, request Request, limit int) []Action {
 	if g.running < g.config.MaxRunning {
-		g.held[request.ID] = &accepted{request: request, limit: limit}
+		g.accepted[request.ID] = &acceptedRequest{request: request, limit: limit}
 		return []Action{g.start(now, request.ID)}
 	}
 	if wait := g.expectedWait(g.queue.len()); now.Add(wait).After(request.Deadline) {
@@ -192,16 +192,16 @@
 		if !displaced {
 			return []Action{g.refuseReleasing(request, failure.QueueFull, g.expectedWait(g.queue.len()))}
 		}
-		delete(g.held, victim.ID)
+		delete(g.accepted, victim.ID)
 		actions = append(actions, g.refuseReleasing(victim, failure.QueueFull, g.expectedWait(g.queue.len())))
 	}
-	g.held[request.ID] = &accepted{request: request, limit: limit}
+	g.accepted[request.ID] = &acceptedRequest{request: request, limit: limit}
 	g.queue.push(request)
 	return actions
 }
 
 func (g *Gate) start(now time.Time, id RequestID) Start {
-	entry := g.held[id]
+	entry := g.accepted[id]
 	entry.running = true
 	entry.startedAt = now
 	g.running++
@@ -209,33 +209,33 @@
 }
 
 func (g *Gate) finished(now time.Time, event Finished) []Action {
-	entry, known := g.held[event.ID]
+	entry, known := g.accepted[event.ID]
 	if !known || !entry.running {
 		return nil
 	}
-	delete(g.held, event.ID)
+	delete(g.accepted, event.ID)
 	g.running--
-	g.learnService(now.Sub(entry.startedAt))
-	g.settleKey(entry.request, event)
+	g.updateServiceTime(now.Sub(entry.startedAt))
+	g.recordOutcome(entry.request, event)
 	return append(g.startQueued(now), g.admitWaiters(now)...)
 }
 
-func (g *Gate) settleKey(request Request, event Finished) {
+func (g *Gate) recordOutcome(request Request, event Finished) {
 	switch {
 	case request.Key == nil:
 	case event.NotRun:
-		g.once.release(*request.Key)
+		g.keys.release(*request.Key)
 	default:
-		g.once.finish(*request.Key, event.Outcome)
+		g.keys.finish(*request.Key, event.Outcome)
 	}
 }
 
-func (g *Gate) learnService(took time.Duration) {
-	if g.service == 0 {
-		g.service = took
+func (g *Gate) updateServiceTime(took time.Duration) {
+	if g.meanServiceTime == 0 {
+		g.meanServiceTime = took
 		return
 	}
-	g.service += time.Duration(serviceSmoothing * float64(took-g.service))
+	g.meanServiceTime += time.Duration(serviceTimeSmoothing * float64(took-g.meanServiceTime))
 }
 
 // startQueued starts queued requests while there is capacity. One whose
@@ -248,7 +248,7 @@
 			break
 		}
 		if !now.Before(request.Deadline) {
-			delete(g.held, request.ID)
+			delete(g.accepted, request.ID)
 			actions = append(actions, g.refuseReleasing(request, failure.DeadlineUnmeetable, g.expectedWait(0)))
 			continue
 		}
@@ -268,7 +268,7 @@
 		}
 	}
 	if request, queued := g.queue.remove(id); queued {
-		delete(g.held, id)
+		delete(g.accepted, id)
 		g.releaseKey(request)
 		return g.admitWaiters(now)
 	}
@@ -287,14 +287,14 @@
 
 // rest refuses what hasn't started: it would reach the back end within its rest, and can go
 // elsewhere. What runs is finished.
-func (g *Gate) rest(now time.Time, wait time.Duration) []Action {
-	if until := now.Add(wait); until.After(g.restUntil) {
-		g.restUntil = until
+func (g *Gate) backOff(now time.Time, wait time.Duration) []Action {
+	if until := now.Add(wait); until.After(g.backOffUntil) {
+		g.backOffUntil = until
 	}
-	left := g.restUntil.Sub(now)
+	left := g.backOffUntil.Sub(now)
 	actions := g.refuseWaiters(failure.QueueFull, left)
 	for request, ok := g.queue.pop(); ok; request, ok = g.queue.pop() {
-		delete(g.held, request.ID)
+		delete(g.accepted, request.ID)
 		actions = append(actions, g.refuseReleasing(request, failure.QueueFull, left))
 	}
 	return actions
@@ -313,6 +313,6 @@
 
 func (g *Gate) releaseKey(request Request) {
 	if request.Key != nil {
-		g.once.release(*request.Key)
+		g.keys.release(*request.Key)
 	}
 }
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -16,17 +16,17 @@
 
 func testConfig() Config {
 	return Config{
-		Bound:        BoundPolicy{Multiple: 1.25, Window: time.Second},
-		AffinityWait: 200 * time.Millisecond,
-		OwnerWait:    time.Second,
-		LastWait:     1500 * time.Millisecond,
-		MaxRunning:   4,
-		MaxQueued:    4,
+		Bound:           BoundPolicy{Multiple: 1.25, Window: time.Second},
+		AffinityWait:    200 * time.Millisecond,
+		OwnerWait:       time.Second,
+		LastAttemptWait: 1500 * time.Millisecond,
+		MaxRunning:      4,
+		MaxQueued:       4,
 	}
 }
 
-func testOnce() OnceConfig {
-	return OnceConfig{StartedAt: start, ClockError: time.Second, Memory: time.Hour, Capacity: 4, ReplyBytes: 100}
+func testKeyTable() KeyTableConfig {
+	return KeyTableConfig{StartedAt: start, ClockError: time.Second, Retention: time.Hour, Capacity: 4, MaxReplyBytes: 100}
 }
 
 func observed(loads ...int) []ObservedLoad {
@@ -38,7 +38,7 @@
 }
 
 // met returns evidence that is newer than what observed returns.
-func met(loads ...int) []ObservedLoad {
+func newerObserved(loads ...int) []ObservedLoad {
 	list := observed(loads...)
 	for i := range list {
 		list[i].At = start.Add(time.Millisecond)
@@ -70,10 +70,10 @@
 // TestGateKeepsItsInvariants drives a gate with random events and checks after
 // each that every request gets exactly one word, that the load stays under the
 // bound at every admission, and that running and queued stay under their caps.
-func TestGateKeepsItsInvariants(t *testing.T) {
+func TestGateInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := testConfig()
-		g := NewGate(config, testOnce())
+		g := NewGate(config, testKeyTable())
 		now := start.Add(time.Minute)
 		answered := map[RequestID]bool{}
 		var running []RequestID
@@ -102,7 +102,7 @@
 				t.Fatalf("running %d, queued %d", g.Running(), g.Load()-g.Running())
 			}
 		}
-		var restUntil time.Time
+		var backOffUntil time.Time
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
@@ -117,7 +117,7 @@
 					Affine:   rapid.Bool().Draw(t, "affine"),
 				}
 				check(arrive(g, now, r))
-				if g.Load() > before && now.Before(restUntil) {
+				if g.Load() > before && now.Before(backOffUntil) {
 					t.Fatalf("request %d was accepted within a rest", last)
 				}
 				if g.Load() > before && g.Load() > limit.Max {
@@ -140,11 +140,11 @@
 				}
 				check(g.Step(now, PoolObserved{Others: others}))
 			case 5:
-				rest := time.Duration(rapid.IntRange(1, 1000).Draw(t, "rest")) * time.Millisecond
-				if now.Add(rest).After(restUntil) {
-					restUntil = now.Add(rest)
+				backOff := time.Duration(rapid.IntRange(1, 1000).Draw(t, "rest")) * time.Millisecond
+				if now.Add(backOff).After(backOffUntil) {
+					backOffUntil = now.Add(backOff)
 				}
-				check(g.Step(now, Rest{For: rest}))
+				check(g.Step(now, BackOff{For: backOff}))
 				if g.Load() > g.Running() || g.Waiting() > 0 {
 					t.Fatalf("%d requests wait within a rest", g.Load()-g.Running()+g.Waiting())
 				}
@@ -155,7 +155,7 @@
 
 func TestAffineRequestWaitsForTheBound(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(testConfig(), testOnce())
+	g := NewGate(testConfig(), testKeyTable())
 	g.Step(start, PoolObserved{Others: observed(0, 0, 0)})
 	is.Equal(kindOf(arrive(g, start, request(1))), "start")
 	is.Equal(kindOf(arrive(g, start, request(2))), failure.OverBound)
@@ -175,20 +175,20 @@
 	is := is.New(t)
 	config := testConfig()
 	config.AffinityWait = 0
-	gate := NewGate(config, testOnce())
+	gate := NewGate(config, testKeyTable())
 	gate.Step(start, PoolObserved{Others: observed(0, 0, 0)})
 	is.Equal(kindOf(arrive(gate, start, request(1))), "start")
 	is.Equal(kindOf(arrive(gate, start, request(2))), failure.OverBound)
 	last := request(3)
-	last.Last = true
+	last.LastAttempt = true
 	is.Equal(len(arrive(gate, start, last)), 0)
-	is.Equal(kindOf(gate.Step(start.Add(config.LastWait-1), Tick{})), 0)
-	is.Equal(kindOf(gate.Step(start.Add(config.LastWait), Tick{})), failure.OverBound)
+	is.Equal(kindOf(gate.Step(start.Add(config.LastAttemptWait-1), Tick{})), 0)
+	is.Equal(kindOf(gate.Step(start.Add(config.LastAttemptWait), Tick{})), failure.OverBound)
 }
 
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryAfterAndLoad(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(testConfig(), testOnce())
+	g := NewGate(testConfig(), testKeyTable())
 	g.Step(start, PoolObserved{Others: observed(0, 0, 0)})
 	arrive(g, start, request(1))
 	g.Step(start.Add(2*time.Second), Finished{ID: 1})
@@ -200,11 +200,11 @@
 }
 
 // full returns a gate that runs and queues all it may.
-func full(t *testing.T, queue ...Request) *Gate {
+func fullGate(t *testing.T, queue ...Request) *Gate {
 	t.Helper()
 	config := testConfig()
 	config.Bound.Disabled = true
-	g := NewGate(config, testOnce())
+	g := NewGate(config, testKeyTable())
 	for id := range RequestID(config.MaxRunning) {
 		arrive(g, start, request(1000+id))
 	}
@@ -237,7 +237,7 @@
 
 func TestQueueIsFairAcrossTenantsAndPriorities(t *testing.T) {
 	is := is.New(t)
-	g := full(t,
+	g := fullGate(t,
 		fromTenant(1, "large", Interactive), fromTenant(2, "large", Interactive),
 		fromTenant(3, "large", Batch), fromTenant(4, "small", Interactive))
 	is.Equal(startedOrder(g, 4), []RequestID{1, 4, 2, 3})
@@ -245,7 +245,7 @@
 
 func TestSurgingTenantDisplacesOnlyItself(t *testing.T) {
 	is := is.New(t)
-	g := full(t,
+	g := fullGate(t,
 		fromTenant(1, "large", Interactive), fromTenant(2, "large", Interactive),
 		fromTenant(3, "large", Interactive), fromTenant(4, "small", Interactive))
 	is.Equal(kindOf(arrive(g, start, fromTenant(5, "large", Interactive))), failure.QueueFull)
@@ -259,7 +259,7 @@
 	config := testConfig()
 	config.Bound.Disabled = true
 	config.MaxRunning, config.MaxQueued = 1, 100
-	g := NewGate(config, testOnce())
+	g := NewGate(config, testKeyTable())
 	arrive(g, start, request(1))
 	arrive(g, start, fromTenant(2, "t", Batch))
 	for id := RequestID(3); id < 30; id++ {
@@ -273,13 +273,13 @@
 			}
 		}
 		starts++
-		is.True(starts <= batchTurn) // batch gets its turn
+		is.True(starts <= batchInterval) // batch gets its turn
 	}
 }
 
-func TestHopelessRequestsAreAnsweredAtOnce(t *testing.T) {
+func TestUnmeetableDeadlineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	g := full(t)
+	g := fullGate(t)
 	g.Step(start.Add(10*time.Second), Finished{ID: 1000}) // a service time of 10s
 	arrive(g, start.Add(10*time.Second), request(1))
 	arrive(g, start.Add(10*time.Second), request(2))
@@ -292,19 +292,19 @@
 	is.Equal(kindOf(arrive(g, start.Add(time.Second), passed)), failure.DeadlineUnmeetable)
 }
 
-func TestLeavingRefusesNewWorkAndFinishesTheOld(t *testing.T) {
+func TestLeavingGateRefusesNewAndFinishesAcceptedRequests(t *testing.T) {
 	is := is.New(t)
-	g := full(t, request(1))
+	g := fullGate(t, request(1))
 	g.Step(start, Leave{})
 	is.Equal(kindOf(arrive(g, start, request(2))), failure.Leaving)
 	is.Equal(kindOf(g.Step(start, Finished{ID: 1000})), "start") // the queued one was accepted
 }
 
 // What was accepted and hadn't started reached the back end within the rest that it had asked for.
-func TestRestRefusesWhatHasNotStarted(t *testing.T) {
+func TestBackOffRefusesRequestsNotYetStarted(t *testing.T) {
 	is := is.New(t)
-	g := full(t, request(1))
-	refused, ok := g.Step(start, Rest{For: 3 * time.Second})[0].(Refuse)
+	g := fullGate(t, request(1))
+	refused, ok := g.Step(start, BackOff{For: 3 * time.Second})[0].(Refuse)
 	is.True(ok)
 	is.Equal(refused.RetryAfter, 3*time.Second)
 	is.Equal(len(g.Step(start, Finished{ID: 1000})), 0)
@@ -316,13 +316,13 @@
 }
 
 // A repeat of a call that has run gets its answer from memory, whatever the back end wants.
-func TestKeptAnswerIsGivenWithinARest(t *testing.T) {
+func TestStoredReplyIsReplayedDuringBackOff(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(testConfig(), testOnce())
+	g := NewGate(testConfig(), testKeyTable())
 	now := start.Add(10 * time.Second)
 	arrive(g, now, keyed(1, "k", now))
 	g.Step(now, Finished{ID: 1, Outcome: Outcome{Known: true}})
-	g.Step(now, Rest{For: time.Second})
+	g.Step(now, BackOff{For: time.Second})
 	is.Equal(kindOf(arrive(g, now, keyed(2, "k", now))), "replay")
 	is.Equal(kindOf(arrive(g, now, keyed(3, "other", now))), failure.QueueFull)
 	is.Equal(kindOf(arrive(g, now.Add(time.Second), keyed(4, "other", now))), "start") // not run, so it may
--- a/internal/admission/once.go
+++ b/internal/admission/once.go
@@ -39,18 +39,18 @@
 )
 
 // OnceConfig sets up the memory of keys.
-type OnceConfig struct {
+type KeyTableConfig struct {
 	// StartedAt is when this agent's memory began.
 	StartedAt time.Time
 	// ClockError bounds the difference between two clocks.
 	ClockError time.Duration
 	// Memory is how long an outcome is remembered.
-	Memory time.Duration
+	Retention time.Duration
 	// Capacity is the largest number of remembered keys.
 	Capacity int
 	// ReplyBytes bounds the memory of all kept answers. The oldest are dropped
 	// first; that their keys ran is remembered all the same.
-	ReplyBytes int
+	MaxReplyBytes int
 	// Disabled forgets everything; only checks of the checkers set it.
 	Disabled bool
 }
@@ -64,33 +64,33 @@
 // refused as dated in the future), and A is before the start; so with a second
 // clock error for a machine whose clock changed in between, no key can be taken
 // by both.
-type onceTable struct {
-	config    OnceConfig
-	entries   map[string]*onceEntry
-	order     *list.List
-	forgotten time.Time
+type keyTable struct {
+	config        KeyTableConfig
+	entries       map[string]*keyEntry
+	order         *list.List
+	forgottenUpTo time.Time
 	// replyBytes is the memory of the kept answers.
 	replyBytes int
 }
 
-type onceEntry struct {
+type keyEntry struct {
 	key     Key
 	done    bool
 	outcome Outcome
 	element *list.Element
 }
 
-func newOnceTable(config OnceConfig) *onceTable {
-	return &onceTable{
-		config:    config,
-		entries:   map[string]*onceEntry{},
-		order:     list.New(),
-		forgotten: config.StartedAt.Add(2 * config.ClockError),
+func newKeyTable(config KeyTableConfig) *keyTable {
+	return &keyTable{
+		config:        config,
+		entries:       map[string]*keyEntry{},
+		order:         list.New(),
+		forgottenUpTo: config.StartedAt.Add(2 * config.ClockError),
 	}
 }
 
 // begin decides about a keyed request and, on verdictRun, remembers the key.
-func (t *onceTable) begin(now time.Time, key Key) (verdict, Outcome) {
+func (t *keyTable) begin(now time.Time, key Key) (verdict, Outcome) {
 	if t.config.Disabled {
 		return verdictRun, Outcome{}
 	}
@@ -101,16 +101,16 @@
 	if key.Issued.After(now.Add(t.config.ClockError)) {
 		return verdictFuture, Outcome{}
 	}
-	if !key.Issued.After(t.forgotten) {
+	if !key.Issued.After(t.forgottenUpTo) {
 		return verdictUnknown, Outcome{}
 	}
-	entry := &onceEntry{key: key}
+	entry := &keyEntry{key: key}
 	entry.element = t.order.PushBack(entry)
 	t.entries[key.Value] = entry
 	return verdictRun, Outcome{}
 }
 
-func (e *onceEntry) verdict(key Key) verdict {
+func (e *keyEntry) verdict(key Key) verdict {
 	switch {
 	case e.key.Digest != key.Digest:
 		return verdictReused
@@ -124,7 +124,7 @@
 }
 
 // finish records how the run under the key ended.
-func (t *onceTable) finish(key Key, outcome Outcome) {
+func (t *keyTable) finish(key Key, outcome Outcome) {
 	if entry, known := t.entries[key.Value]; known {
 		entry.done = true
 		entry.outcome = outcome
@@ -134,22 +134,22 @@
 }
 
 // dropReplies drops the oldest answers until the rest fit.
-func (t *onceTable) dropReplies() {
-	for element := t.order.Front(); element != nil && t.replyBytes > t.config.ReplyBytes; element = element.Next() {
-		if entry, ok := element.Value.(*onceEntry); ok {
+func (t *keyTable) dropReplies() {
+	for element := t.order.Front(); element != nil && t.replyBytes > t.config.MaxReplyBytes; element = element.Next() {
+		if entry, ok := element.Value.(*keyEntry); ok {
 			entry.dropReply(t)
 		}
 	}
 }
 
-func (e *onceEntry) dropReply(t *onceTable) {
+func (e *keyEntry) dropReply(t *keyTable) {
 	t.replyBytes -= e.outcome.Size
 	e.outcome.Reply = nil
 	e.outcome.Size = 0
 }
 
 // release forgets a key whose request was certainly not run.
-func (t *onceTable) release(key Key) {
+func (t *keyTable) release(key Key) {
 	if entry, known := t.entries[key.Value]; known {
 		t.order.Remove(entry.element)
 		delete(t.entries, key.Value)
@@ -158,13 +158,13 @@
 
 // expire forgets old outcomes, and remembers up to which time of issue keys may
 // have been forgotten. A run in progress is never forgotten.
-func (t *onceTable) expire(now time.Time) {
+func (t *keyTable) expire(now time.Time) {
 	for element := t.order.Front(); element != nil; {
-		entry, ok := element.Value.(*onceEntry)
+		entry, ok := element.Value.(*keyEntry)
 		next := element.Next()
-		old := now.Sub(entry.key.Issued) > t.config.Memory
-		over := t.order.Len() > t.config.Capacity
-		if !ok || !old && !over {
+		expired := now.Sub(entry.key.Issued) > t.config.Retention
+		overCapacity := t.order.Len() > t.config.Capacity
+		if !ok || !expired && !overCapacity {
 			break
 		}
 		if entry.done {
@@ -172,16 +172,16 @@
 		}
 		element = next
 	}
-	if horizon := now.Add(-t.config.Memory); horizon.After(t.forgotten) {
-		t.forgotten = horizon
+	if horizon := now.Add(-t.config.Retention); horizon.After(t.forgottenUpTo) {
+		t.forgottenUpTo = horizon
 	}
 }
 
-func (t *onceTable) forget(entry *onceEntry) {
+func (t *keyTable) forget(entry *keyEntry) {
 	entry.dropReply(t)
 	t.order.Remove(entry.element)
 	delete(t.entries, entry.key.Value)
-	if entry.key.Issued.After(t.forgotten) {
-		t.forgotten = entry.key.Issued
+	if entry.key.Issued.After(t.forgottenUpTo) {
+		t.forgottenUpTo = entry.key.Issued
 	}
 }
--- a/internal/admission/once_test.go
+++ b/internal/admission/once_test.go
@@ -18,7 +18,7 @@
 
 func TestKeyRunsAtMostOnce(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(testConfig(), testOnce())
+	g := NewGate(testConfig(), testKeyTable())
 	now := start.Add(10 * time.Second)
 	is.Equal(kindOf(arrive(g, now, keyed(1, "k", now))), "start")
 	is.Equal(kindOf(arrive(g, now, keyed(2, "k", now))), failure.KeyInProgress)
@@ -31,9 +31,9 @@
 	is.Equal(kindOf(arrive(g, now, other)), failure.KeyReused)
 }
 
-func TestOldAnswersAreDroppedButTheirKeysNeverRunAgain(t *testing.T) {
+func TestKeysOfDroppedRepliesNeverRunAgain(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(testConfig(), testOnce())
+	g := NewGate(testConfig(), testKeyTable())
 	now := start.Add(10 * time.Second)
 	for id := RequestID(1); id <= 3; id++ {
 		is.Equal(kindOf(arrive(g, now, keyed(id, fmt.Sprint(id), now))), "start")
@@ -47,38 +47,38 @@
 	is.Equal(last.Outcome.Reply, "answer")
 }
 
-func TestKeyOfARequestThatDidNotRunMayRun(t *testing.T) {
+func TestKeyOfRequestThatDidNotRunIsReleased(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(testConfig(), testOnce())
+	g := NewGate(testConfig(), testKeyTable())
 	now := start.Add(10 * time.Second)
 	arrive(g, now, keyed(1, "k", now))
 	g.Step(now, Finished{ID: 1, NotRun: true})
 	is.Equal(kindOf(arrive(g, now, keyed(2, "k", now))), "start")
 }
 
-func TestUnknownOutcomeStaysUnknown(t *testing.T) {
+func TestRepeatAfterUnknownOutcomeIsRefused(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(testConfig(), testOnce())
+	g := NewGate(testConfig(), testKeyTable())
 	now := start.Add(10 * time.Second)
 	arrive(g, now, keyed(1, "k", now))
 	g.Step(now, Finished{ID: 1})
 	is.Equal(kindOf(arrive(g, now, keyed(2, "k", now))), failure.OutcomeUnknown)
 }
 
-func TestKeysFromBeforeTheStartAreUnknown(t *testing.T) {
+func TestKeysIssuedBeforeStartHaveUnknownOutcome(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(testConfig(), testOnce())
+	g := NewGate(testConfig(), testKeyTable())
 	now := start.Add(10 * time.Second)
 	is.Equal(kindOf(arrive(g, now, keyed(1, "a", start.Add(2*time.Second)))), failure.OutcomeUnknown)
 	is.Equal(kindOf(arrive(g, now, keyed(2, "b", start.Add(2*time.Second+1)))), "start")
 	is.Equal(kindOf(arrive(g, now, keyed(3, "c", now.Add(time.Second+1)))), failure.InvalidRequest)
 }
 
-func TestForgottenKeysNeverRunAgain(t *testing.T) {
+func TestEvictedKeysNeverRunAgain(t *testing.T) {
 	is := is.New(t)
 	config := testConfig()
 	config.Bound.Disabled = true
-	g := NewGate(config, testOnce())
+	g := NewGate(config, testKeyTable())
 	now := start.Add(10 * time.Second)
 	for id := RequestID(1); id <= 8; id++ { // twice the capacity
 		issued := now.Add(time.Duration(id) * time.Millisecond)
@@ -93,9 +93,9 @@
 	is.Equal(kindOf(arrive(g, muchLater, old)), failure.OutcomeUnknown)
 }
 
-func TestCancelledRequestsFreeTheirPlaceAndKey(t *testing.T) {
+func TestCancellationReleasesQueuePlaceAndKey(t *testing.T) {
 	is := is.New(t)
-	g := full(t)
+	g := fullGate(t)
 	now := start.Add(10 * time.Second)
 	arrive(g, now, keyed(1, "k", now))
 	is.Equal(g.Load(), 5)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -19,7 +19,7 @@
 
 // batchTurn is the share of starts, one in so many, that batch work gets while
 // interactive work waits too, so that it never starves.
-const batchTurn = 8
+const batchInterval = 8
 
 // queued is one waiting request with its place in the fair order.
 type queued struct {
@@ -32,18 +32,18 @@
 // priority weighted-fair across tenants by start-time fair queueing (Goyal, Vin
 // and Cheng, 1996). A tenant's requests keep their order of arrival.
 type fairQueue struct {
-	classes  [priorityCount][]queued
-	virtual  [priorityCount]float64
-	finishes [priorityCount]map[string]float64
-	weights  map[string]float64
-	sequence uint64
-	starts   int
+	classes     [priorityCount][]queued
+	virtualTime [priorityCount]float64
+	lastFinish  [priorityCount]map[string]float64
+	weights     map[string]float64
+	sequence    uint64
+	starts      int
 }
 
 func newFairQueue() *fairQueue {
 	q := &fairQueue{weights: map[string]float64{}}
-	for class := range q.finishes {
-		q.finishes[class] = map[string]float64{}
+	for class := range q.lastFinish {
+		q.lastFinish[class] = map[string]float64{}
 	}
 	return q
 }
@@ -66,9 +66,9 @@
 // push puts the request in its fair place.
 func (q *fairQueue) push(request Request) {
 	class := request.Priority
-	start := max(q.virtual[class], q.finishes[class][request.Tenant])
+	start := max(q.virtualTime[class], q.lastFinish[class][request.Tenant])
 	finish := start + 1/q.weight(request.Tenant)
-	q.finishes[class][request.Tenant] = finish
+	q.lastFinish[class][request.Tenant] = finish
 	q.sequence++
 	entry := queued{request: request, finish: finish, sequence: q.sequence}
 	at, _ := slices.BinarySearchFunc(q.classes[class], entry, compareQueued)
@@ -97,11 +97,11 @@
 	q.starts++
 	entry := q.classes[class][0]
 	q.classes[class] = slices.Delete(q.classes[class], 0, 1)
-	q.virtual[class] = entry.finish
+	q.virtualTime[class] = entry.finish
 	if len(q.classes[class]) == 0 {
 		// Nobody waits: old finish times have no meaning for the next backlog.
-		clear(q.finishes[class])
-		q.virtual[class] = 0
+		clear(q.lastFinish[class])
+		q.virtualTime[class] = 0
 	}
 	return entry.request, true
 }
@@ -110,7 +110,7 @@
 	if len(q.classes[Interactive]) == 0 {
 		return Batch
 	}
-	if len(q.classes[Batch]) > 0 && (q.starts+1)%batchTurn == 0 {
+	if len(q.classes[Batch]) > 0 && (q.starts+1)%batchInterval == 0 {
 		return Batch
 	}
 	return Interactive
@@ -139,7 +139,7 @@
 		if low < arriving.Priority {
 			break
 		}
-		if victim, ok := q.largestShare(low, arriving); ok {
+		if victim, ok := q.lastOfLargestShare(low, arriving); ok {
 			return q.remove(victim)
 		}
 	}
@@ -149,7 +149,7 @@
 // largestShare returns the last request of the tenant with the largest share of
 // the class, if that share exceeds what the arriving tenant's would become. In
 // a class below the arriving one's, any tenant's last request may go.
-func (q *fairQueue) largestShare(class Priority, arriving Request) (RequestID, bool) {
+func (q *fairQueue) lastOfLargestShare(class Priority, arriving Request) (RequestID, bool) {
 	counts := map[string]int{}
 	for _, entry := range q.classes[class] {
 		counts[entry.request.Tenant]++
--- a/internal/admission/timing.go
+++ b/internal/admission/timing.go
@@ -15,28 +15,28 @@
 			remaining = append(remaining, waiting)
 			continue
 		}
-		actions = append(actions, g.refuseReleasing(waiting.request, failure.OverBound, g.expectedRoom()))
+		actions = append(actions, g.refuseReleasing(waiting.request, failure.OverBound, g.expectedFinish()))
 	}
 	g.waiters = remaining
-	return append(actions, g.refuseHopeless(now)...)
+	return append(actions, g.refuseUnmeetable(now)...)
 }
 
 // refuseHopeless refuses queued requests that, by their place in the queue,
 // would start after their deadline.
-func (g *Gate) refuseHopeless(now time.Time) []Action {
-	var hopeless []Request
+func (g *Gate) refuseUnmeetable(now time.Time) []Action {
+	var unmeetable []Request
 	ahead := 0
 	g.queue.each(func(request Request) {
 		if now.Add(g.expectedWait(ahead)).After(request.Deadline) {
-			hopeless = append(hopeless, request)
+			unmeetable = append(unmeetable, request)
 			return
 		}
 		ahead++
 	})
 	var actions []Action
-	for _, request := range hopeless {
+	for _, request := range unmeetable {
 		g.queue.remove(request.ID)
-		delete(g.held, request.ID)
+		delete(g.accepted, request.ID)
 		actions = append(actions, g.refuseReleasing(request, failure.DeadlineUnmeetable, g.expectedWait(g.queue.len())))
 	}
 	return actions
@@ -45,15 +45,15 @@
 // expectedWait estimates the time until a request with so many ahead starts.
 func (g *Gate) expectedWait(ahead int) time.Duration {
 	if g.config.MaxRunning == 0 {
-		return g.service
+		return g.meanServiceTime
 	}
-	return time.Duration(float64(g.service) * float64(ahead) / float64(g.config.MaxRunning))
+	return time.Duration(float64(g.meanServiceTime) * float64(ahead) / float64(g.config.MaxRunning))
 }
 
 // expectedRoom estimates the time until one of the held requests finishes.
-func (g *Gate) expectedRoom() time.Duration {
+func (g *Gate) expectedFinish() time.Duration {
 	if g.running == 0 {
-		return g.service
+		return g.meanServiceTime
 	}
-	return g.service / time.Duration(g.running)
+	return g.meanServiceTime / time.Duration(g.running)
 }
--- a/internal/admission/waiters.go
+++ b/internal/admission/waiters.go
@@ -16,12 +16,12 @@
 // maxWaiters bounds the requests that wait for the bound.
 const maxWaiters = 256
 
-func (g *Gate) waitFor(request Request) time.Duration {
+func (g *Gate) boundWait(request Request) time.Duration {
 	if request.Key != nil {
 		return g.config.OwnerWait
 	}
-	if request.Last {
-		return g.config.LastWait
+	if request.LastAttempt {
+		return g.config.LastAttemptWait
 	}
 	if request.Affine {
 		return g.config.AffinityWait
@@ -29,7 +29,7 @@
 	return 0
 }
 
-func (g *Gate) hold(now time.Time, request Request, wait time.Duration) []Action {
+func (g *Gate) addWaiter(now time.Time, request Request, wait time.Duration) []Action {
 	until := now.Add(wait)
 	if request.Deadline.Before(until) {
 		until = request.Deadline
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -91,13 +91,13 @@
 
 // New returns the core of an agent that starts at the time.
 func New(config Config, open coordination.Opener, acceptor *bundle.Acceptor, now time.Time) *Core {
-	once := admission.OnceConfig{
-		StartedAt:  now,
-		ClockError: defaultClockError,
-		Memory:     bundle.KeyMemory,
-		Capacity:   config.KeyCapacity,
-		ReplyBytes: config.ReplyBytes,
-		Disabled:   config.Disable.Keys,
+	once := admission.KeyTableConfig{
+		StartedAt:     now,
+		ClockError:    defaultClockError,
+		Retention:     bundle.KeyMemory,
+		Capacity:      config.KeyCapacity,
+		MaxReplyBytes: config.ReplyBytes,
+		Disabled:      config.Disable.Keys,
 	}
 	if config.Disable.KeyAge {
 		once.StartedAt = time.Time{}
@@ -183,7 +183,7 @@
 		rest = forGood
 	}
 	if rest > 0 {
-		effects.Requests = append(effects.Requests, c.gate.Step(now, admission.Rest{For: rest})...)
+		effects.Requests = append(effects.Requests, c.gate.Step(now, admission.BackOff{For: rest})...)
 	}
 	return effects
 }
@@ -244,12 +244,12 @@
 
 func (c *Core) request(now time.Time, id admission.RequestID, head hop.Head) admission.Request {
 	request := admission.Request{
-		ID:       id,
-		Tenant:   head.Tenant,
-		Priority: head.Priority,
-		Deadline: now.Add(head.Remaining()),
-		Affine:   head.Affine,
-		Last:     head.Last,
+		ID:          id,
+		Tenant:      head.Tenant,
+		Priority:    head.Priority,
+		Deadline:    now.Add(head.Remaining()),
+		Affine:      head.Affine,
+		LastAttempt: head.Last,
 	}
 	for _, met := range head.LoadsMet {
 		request.Evidence = append(request.Evidence, admission.ObservedLoad{Member: met.BackEnd, Load: met.Load, At: now.Add(-time.Duration(met.AgeMillis) * time.Millisecond)})
@@ -281,12 +281,12 @@
 			Window:    pool.MeanWindow.Std(),
 			Disabled:  c.config.Disable.Bound,
 		},
-		AffinityWait: pool.AffinityWait.Std(),
-		OwnerWait:    c.config.OwnerWait,
-		LastWait:     c.config.LastWait,
-		MaxRunning:   pool.MaxRunning,
-		MaxQueued:    pool.MaxQueued,
-		Weights:      weights,
+		AffinityWait:    pool.AffinityWait.Std(),
+		OwnerWait:       c.config.OwnerWait,
+		LastAttemptWait: c.config.LastWait,
+		MaxRunning:      pool.MaxRunning,
+		MaxQueued:       pool.MaxQueued,
+		Weights:         weights,
 	}})
 }
 
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -123,7 +123,7 @@
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(table, "SERVICE\tBACK ENDS\tUNUSABLE\tUNDER WAY HERE\tRETRY BUDGET")
 	for _, service := range status.Services {
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%.1f\n", service.Name, service.BackEnds, service.Unusable, service.UnderWay, service.RetryBudget)
+		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%.1f\n", service.Name, service.BackEnds, service.Unusable, service.InFlight, service.RetryBudget)
 	}
 	_, _ = fmt.Fprintln(table, "\t\t\t\t\nBACK END\tSERVICE\tZONE\tHEALTH\tLOAD (HERE)")
 	for _, each := range status.BackEnds {
@@ -175,7 +175,7 @@
 		state += ", the candidate was found bad"
 	}
 	_, err := fmt.Fprintf(output, "%s moves to %s: %s, %.1fs of %.1fs, %d of %d attempts at the candidate, %d under way at the standing version\n",
-		rollout.Service, rollout.Target, state, rollout.AgeSeconds, rollout.DurationSeconds, rollout.Exposed, rollout.Sent, rollout.UnderWay)
+		rollout.Service, rollout.Target, state, rollout.AgeSeconds, rollout.DurationSeconds, rollout.Exposed, rollout.Sent, rollout.InFlight)
 	if err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 			return err
 		}
 	}
-	for _, wait := range rollout.Awaits {
+	for _, wait := range rollout.Waits {
 		if _, err := fmt.Fprintf(output, "  waits for %s\n", wait); err != nil {
 			return err
 		}
@@ -194,7 +194,7 @@
 	_, _ = fmt.Fprintln(table, "  ROUTE\tSHARE\tDOUBT\tFAILED\tSLOW\tFAILED BEFORE\tSLOW BEFORE")
 	for _, route := range rollout.Routes {
 		_, _ = fmt.Fprintf(table, "  %s\t%.2f\t%.1f\t%d of %d\t%d of %d\t%d of %d\t%d of %d\n", route.Route, route.Share, route.Doubt,
-			route.Failed, route.Answers, route.Slow, route.Timed, route.UsualBad, route.UsualOf, route.UsualSlow, route.UsualTime)
+			route.Failed, route.Answers, route.Slow, route.Timed, route.StandingFailed, route.StandingAnswers, route.StandingSlow, route.StandingTimed)
 	}
 	_, _ = fmt.Fprintln(table)
 	return table.Flush()
--- a/internal/cli/status_test.go
+++ b/internal/cli/status_test.go
@@ -17,7 +17,7 @@
 	is := is.New(t)
 	raw, err := json.Marshal(gateway.Status{
 		Role: gateway.RoleName, Ready: true, Version: 7, Gateways: 103, LoadAgeSeconds: 0.2,
-		Services: []gateway.ServiceStatus{{Name: "chat", BackEnds: 2, Unusable: 1, UnderWay: 3, RetryBudget: 2.5}},
+		Services: []gateway.ServiceStatus{{Name: "chat", BackEnds: 2, Unusable: 1, InFlight: 3, RetryBudget: 2.5}},
 		BackEnds: []gateway.BackEndStatus{{ID: "i-1", Service: "chat", Zone: "a", Health: "healthy", Leaving: true, Own: 3, Estimate: 8}},
 	})
 	is.NoErr(err)
@@ -40,8 +40,8 @@
 		Rollouts: []gateway.RolloutStatus{{
 			Service: "chat", Target: "v2", State: "in_progress", Abandoned: true, Sent: 900, Exposed: 41, AgeSeconds: 4, DurationSeconds: 12,
 			Finding: &rollout.Finding{What: "failed", Bad: 14, Answers: 37, UsualBad: 6, UsualAnswers: 410, Ratio: 11.2},
-			Awaits:  []rollout.Wait{rollout.WaitStanding},
-			Routes:  []gateway.RolloutRouteStatus{{Route: "r-chat", Share: 0.05, Failed: 14, Answers: 37, UsualBad: 6, UsualOf: 410}},
+			Waits:   []rollout.Wait{rollout.WaitStanding},
+			Routes:  []gateway.RolloutRouteStatus{{Route: "r-chat", Share: 0.05, Failed: 14, Answers: 37, StandingFailed: 6, StandingAnswers: 410}},
 		}},
 	})
 	is.NoErr(err)
--- a/internal/collect/service.go
+++ b/internal/collect/service.go
@@ -30,11 +30,11 @@
 	// Counts returns its own counts, and TakeTotals takes the sums in which those it
 	// told are counted in.
 	Counts() []dispatch.Count
-	TakeTotals(told []dispatch.Count, totals dispatch.Totals)
+	ApplyTotals(told []dispatch.Count, totals dispatch.Totals)
 	// Tallies returns its own of moves to other versions, and TakeTallies takes the sums in
 	// which those it told are counted in.
 	Tallies() []rollout.Tally
-	TakeTallies(told []rollout.Tally, totals dispatch.Totals)
+	SetTallyTotals(told []rollout.Tally, totals dispatch.Totals)
 }
 
 // Config sets up a Service.
@@ -171,8 +171,8 @@
 			return 0 // the next one is asked at once
 		}
 	}
-	s.config.Source.TakeTotals(counts, totals)
-	s.config.Source.TakeTallies(tallies, totals)
+	s.config.Source.ApplyTotals(counts, totals)
+	s.config.Source.SetTallyTotals(tallies, totals)
 	return periodFor(len(totals.Counts))
 }
 
--- a/internal/collect/service_test.go
+++ b/internal/collect/service_test.go
@@ -43,7 +43,7 @@
 // Counts has one request under way at the same back end for every gateway.
 func (n *node) Counts() []dispatch.Count { return []dispatch.Count{{Key: 7, Requests: 1, Demand: 3}} }
 
-func (n *node) TakeTotals(_ []dispatch.Count, totals dispatch.Totals) {
+func (n *node) ApplyTotals(_ []dispatch.Count, totals dispatch.Totals) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.totals, n.at = totals, time.Now()
@@ -53,7 +53,7 @@
 	return []rollout.Tally{{Key: rollout.Key{Order: 5}, Sent: 2}}
 }
 
-func (n *node) TakeTallies(_ []rollout.Tally, totals dispatch.Totals) {
+func (n *node) SetTallyTotals(_ []rollout.Tally, totals dispatch.Totals) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.tallies = totals.Tallies
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -112,7 +112,7 @@
 	}
 	g.state.UseClock(environment.Clock)
 	if config.Disabled[dispatch.FollowConfiguration] {
-		g.state.Freeze()
+		g.state.FreezeConfiguration()
 	}
 	if config.Disabled[dispatch.FollowEras] {
 		g.state.IgnoreEras()
@@ -165,7 +165,7 @@
 		Reused:       g.transport(environment, true),
 		Fresh:        g.transport(environment, false),
 		MaxBodyBytes: g.settings.Router.MaxBodyBytes,
-		Held:         gateway.NewHeldBytes(g.settings.Gateway.HeldBytes()),
+		Buffers:      gateway.NewBufferLimit(g.settings.Gateway.HeldBytes()),
 		Lag:          lag,
 		Log:          g.log,
 		Metrics:      metrics,
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -96,7 +96,7 @@
 	holders         *holderMemory
 	paths           *pathMemory
 	crashes         *crashMemory
-	budgets         map[string]*limits.ShareOfBudget
+	budgets         map[string]*limits.RetryBudgetShare
 	gateways        int
 	healthChanges   []HealthChange
 	lag             time.Duration
@@ -162,7 +162,7 @@
 		holders:         newHolderMemory(),
 		paths:           newPathMemory(),
 		crashes:         newCrashMemory(),
-		budgets:         map[string]*limits.ShareOfBudget{},
+		budgets:         map[string]*limits.RetryBudgetShare{},
 		gateways:        1,
 		rollouts:        newRollouts(config.Rollout),
 		displaced:       newIncarnationLog(),
@@ -238,14 +238,14 @@
 const unlimitedBudget = 1e9
 
 // budget returns the retry budget of the service.
-func (c *Core) budget(service string) *limits.ShareOfBudget {
+func (c *Core) budget(service string) *limits.RetryBudgetShare {
 	budget := c.budgets[service]
 	if budget == nil {
 		extra := c.config.RetryExtra
 		if c.config.Disabled[RetryBudget] {
 			extra = unlimitedBudget
 		}
-		budget = limits.NewShareOfBudget(c.config.RetryRatio, extra, c.gateways)
+		budget = limits.NewRetryBudgetShare(c.config.RetryRatio, extra, c.gateways)
 		c.budgets[service] = budget
 	}
 	return budget
@@ -315,7 +315,7 @@
 	// RetryBudget is the number of retries left, and UnderWay the number of this
 	// gateway's requests in flight.
 	RetryBudget float64
-	UnderWay    int
+	InFlight    int
 	// BackEnds counts the listed back ends, and Unusable those that aren't healthy.
 	BackEnds int
 	Unusable int
@@ -327,7 +327,7 @@
 	for _, name := range slices.Sorted(maps.Keys(c.pools)) {
 		status := ServiceStatus{Name: name, RetryBudget: c.budget(name).Tokens(), BackEnds: len(c.pools[name].members)}
 		for _, m := range c.pools[name].members {
-			status.UnderWay += m.own
+			status.InFlight += m.own
 			if m.health.status(now) != Healthy {
 				status.Unusable++
 			}
--- a/internal/draining/draining.go
+++ b/internal/draining/draining.go
@@ -18,21 +18,21 @@
 	mutex sync.Mutex
 	// resting are the connections between two requests; the value is true once bytes of
 	// the next one were read.
-	resting map[net.Conn]bool
+	idle map[net.Conn]bool
 	// spared are connections that were not closed since a request waits in them;
 	// none is closed when the last of them has ended.
-	spared map[*conn]bool
-	none   chan struct{}
+	deferred map[*trackedConn]bool
+	drained  chan struct{}
 }
 
 // New returns a watch over no connection.
 func New() *Connections {
-	return &Connections{resting: map[net.Conn]bool{}, spared: map[*conn]bool{}}
+	return &Connections{idle: map[net.Conn]bool{}, deferred: map[*trackedConn]bool{}}
 }
 
 // Listener returns the listener whose connections are watched.
 func (c *Connections) Listener(listener net.Listener) net.Listener {
-	return &watchedListener{Listener: listener, connections: c, closing: make(chan struct{})}
+	return &trackedListener{Listener: listener, connections: c, closing: make(chan struct{})}
 }
 
 // ConnState is the server's hook of the same name.
@@ -41,9 +41,9 @@
 	defer c.mutex.Unlock()
 	switch state {
 	case http.StateIdle:
-		c.resting[connection] = false
+		c.idle[connection] = false
 	default:
-		delete(c.resting, connection)
+		delete(c.idle, connection)
 	}
 }
 
@@ -54,15 +54,15 @@
 		return err
 	}
 	c.mutex.Lock()
-	if len(c.spared) == 0 {
+	if len(c.deferred) == 0 {
 		c.mutex.Unlock()
 		return nil
 	}
-	none := make(chan struct{})
-	c.none = none
+	drained := make(chan struct{})
+	c.drained = drained
 	c.mutex.Unlock()
 	select {
-	case <-none:
+	case <-drained:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -72,22 +72,22 @@
 // Close ends what Shutdown still waits for.
 func (c *Connections) Close() {
 	c.mutex.Lock()
-	var left []*conn
-	for each := range c.spared {
-		left = append(left, each)
+	var deferred []*trackedConn
+	for connection := range c.deferred {
+		deferred = append(deferred, connection)
 	}
 	c.mutex.Unlock()
-	for _, each := range left {
-		_ = each.Conn.Close()
+	for _, connection := range deferred {
+		_ = connection.Conn.Close()
 	}
 }
 
 // began notes that bytes were read from a connection.
-func (c *Connections) began(connection *conn) {
+func (c *Connections) noteRead(connection *trackedConn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if _, rests := c.resting[connection]; rests {
-		c.resting[connection] = true
+	if _, isIdle := c.idle[connection]; isIdle {
+		c.idle[connection] = true
 	}
 }
 
@@ -95,131 +95,131 @@
 // waiting in it, or with one that the server has begun to read: it counts the connection
 // as resting until it has read the whole header. It is spared once: after its answer, or when its reader fails, it
 // is closed.
-func (c *Connections) spare(connection *conn) bool {
+func (c *Connections) deferClose(connection *trackedConn) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	begun, rests := c.resting[connection]
-	if !rests || c.spared[connection] || !begun && !hasUnread(connection.Conn) {
+	readStarted, isIdle := c.idle[connection]
+	if !isIdle || c.deferred[connection] || !readStarted && !hasUnread(connection.Conn) {
 		return false
 	}
-	c.spared[connection] = true
+	c.deferred[connection] = true
 	return true
 }
 
 // ended notes that a connection was closed.
-func (c *Connections) ended(connection *conn) {
+func (c *Connections) noteClosed(connection *trackedConn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.resting, connection)
-	if !c.spared[connection] {
+	delete(c.idle, connection)
+	if !c.deferred[connection] {
 		return
 	}
-	delete(c.spared, connection)
-	if len(c.spared) == 0 && c.none != nil {
-		close(c.none)
-		c.none = nil
+	delete(c.deferred, connection)
+	if len(c.deferred) == 0 && c.drained != nil {
+		close(c.drained)
+		c.drained = nil
 	}
 }
 
-type watchedListener struct {
+type trackedListener struct {
 	net.Listener
 	connections *Connections
 
 	// closing is closed when Close begins.
-	closing chan struct{}
-	begin   sync.Once
-	finish  sync.Once
+	closing   chan struct{}
+	closeOnce sync.Once
+	drainOnce sync.Once
 	// waiting are the connections that were not accepted before Close.
 	mutex   sync.Mutex
-	waiting []net.Conn
+	backlog []net.Conn
 }
 
 // Accept implements net.Listener. After Close it still returns the connections that
 // were waiting then.
-func (l *watchedListener) Accept() (net.Conn, error) {
+func (l *trackedListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
 		select {
 		case <-l.closing:
-			l.finish.Do(l.takeAllAndClose)
-			accepted, err = l.takeWaiting()
+			l.drainOnce.Do(l.drainBacklogAndClose)
+			accepted, err = l.popBacklog()
 		default:
 		}
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: accepted, connections: l.connections}, nil
+	return &trackedConn{Conn: accepted, connections: l.connections}, nil
 }
 
-func (l *watchedListener) takeWaiting() (net.Conn, error) {
+func (l *trackedListener) popBacklog() (net.Conn, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if len(l.waiting) == 0 {
+	if len(l.backlog) == 0 {
 		return nil, net.ErrClosed
 	}
-	next := l.waiting[0]
-	l.waiting = l.waiting[1:]
+	next := l.backlog[0]
+	l.backlog = l.backlog[1:]
 	return next, nil
 }
 
 // Close implements net.Listener. It returns once no connection waits any more.
-func (l *watchedListener) Close() error {
-	l.begin.Do(func() { close(l.closing) })
-	l.finish.Do(l.takeAllAndClose)
+func (l *trackedListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closing) })
+	l.drainOnce.Do(l.drainBacklogAndClose)
 	return nil
 }
 
 const (
 	// quiet is how long a try waits for a further connection.
-	quiet = 10 * time.Millisecond
+	acceptTimeout = 10 * time.Millisecond
 	// quietTries is the number of tries in a row that must find none. The first may
 	// have waited for an Accept that was under way until its own time was over.
-	quietTries = 2
+	maxEmptyAccepts = 2
 )
 
 // takeAllAndClose accepts the connections that wait and closes the listener.
-func (l *watchedListener) takeAllAndClose() {
-	timed, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
-	for tries := 0; ok && tries < quietTries; {
-		if err := timed.SetDeadline(time.Now().Add(quiet)); err != nil {
+func (l *trackedListener) drainBacklogAndClose() {
+	deadliner, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
+	for emptyAccepts := 0; ok && emptyAccepts < maxEmptyAccepts; {
+		if err := deadliner.SetDeadline(time.Now().Add(acceptTimeout)); err != nil {
 			break
 		}
 		accepted, err := l.Listener.Accept()
 		if err != nil {
-			tries++
+			emptyAccepts++
 			continue
 		}
-		tries = 0
+		emptyAccepts = 0
 		l.mutex.Lock()
-		l.waiting = append(l.waiting, accepted)
+		l.backlog = append(l.backlog, accepted)
 		l.mutex.Unlock()
 	}
 	// It may have been closed already.
 	_ = l.Listener.Close()
 }
 
-type conn struct {
+type trackedConn struct {
 	net.Conn
 	connections *Connections
 }
 
 // Read implements net.Conn.
-func (c *conn) Read(into []byte) (int, error) {
+func (c *trackedConn) Read(into []byte) (int, error) {
 	count, err := c.Conn.Read(into)
 	if count > 0 {
-		c.connections.began(c)
+		c.connections.noteRead(c)
 	}
 	return count, err
 }
 
 // Close implements net.Conn. Closing a connection in which a request waits does
 // nothing: the server's reader is about to find it.
-func (c *conn) Close() error {
-	if c.connections.spare(c) {
+func (c *trackedConn) Close() error {
+	if c.connections.deferClose(c) {
 		return nil
 	}
 	err := c.Conn.Close()
-	c.connections.ended(c)
+	c.connections.noteClosed(c)
 	return err
 }
--- a/internal/follower/eras.go
+++ b/internal/follower/eras.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	for _, record := range gateway.Lacking(known, stored) {
+	for _, record := range gateway.MissingRecords(known, stored) {
 		if err := f.config.Source.Withhold(ctx, record); err != nil {
 			return err
 		}
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -91,7 +91,7 @@
 		if !config.FirstStart {
 			f.tasks.Go(func() { f.recallOrders(ctx, orders) })
 		} else {
-			config.State.SetRecalled()
+			config.State.SetRestorationsKnown()
 		}
 	}
 	if config.Rollouts {
@@ -205,7 +205,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	case <-f.config.State.DutyChanged():
-		if f.config.State.Place().Duty == gateway.StandsBy {
+		if f.config.State.Place().Duty == gateway.Standby {
 			sleep(ctx, rand.N(f.leastPause()))
 		}
 	}
@@ -215,7 +215,7 @@
 // triesPerSecond, unless callers wait for them.
 func (f *Follower) leastPause() time.Duration {
 	place := f.config.State.Place()
-	if place.Duty != gateway.StandsBy || !f.config.State.Ready() {
+	if place.Duty != gateway.Standby || !f.config.State.Ready() {
 		return firstPause
 	}
 	return max(longestPause, time.Duration(place.Gateways)*time.Second/triesPerSecond)
@@ -225,7 +225,7 @@
 // its first. A gateway that others read for learns of changes from its peers; its own
 // reads are for when it loses them, and may be cheap.
 func (f *Follower) mustBeFresh() bool {
-	return f.config.State.Place().Duty != gateway.Learns || !f.config.State.Ready()
+	return f.config.State.Place().Duty != gateway.Learner || !f.config.State.Ready()
 }
 
 // read reads a list and notes whether the store answered.
@@ -245,7 +245,7 @@
 func (f *Follower) readPeriod() time.Duration {
 	place := f.config.State.Place()
 	period := f.config.ReadPeriod * time.Duration(place.Gateways) / stretchPerGateways
-	if place.Duty == gateway.Reads {
+	if place.Duty == gateway.Reader {
 		period = f.config.ReadPeriod * time.Duration(min(place.Gateways, sharedReads))
 	}
 	return min(period, longestStretch)
@@ -323,7 +323,7 @@
 	}
 }
 
-func (f *Follower) isReader() bool { return f.config.State.Place().Duty == gateway.Reads }
+func (f *Follower) isReader() bool { return f.config.State.Place().Duty == gateway.Reader }
 
 // note logs when the store is lost or regained.
 func (f *Follower) note(ctx context.Context, what string, err error) {
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -34,7 +34,7 @@
 func placeOf(gateways int, reader bool) gateway.Place {
 	place := gateway.Place{Gateways: gateways}
 	if reader {
-		place.Duty = gateway.Reads
+		place.Duty = gateway.Reader
 	}
 	return place
 }
@@ -254,7 +254,7 @@
 		time.Sleep(time.Minute)
 		s.failing.Store(true)
 		before := s.reads.Load() + s.configurationReads.Load()
-		state.SetFleet(gateway.Place{Gateways: 40, Duty: gateway.StandsBy}, dispatch.Fleet{})
+		state.SetFleet(gateway.Place{Gateways: 40, Duty: gateway.Standby}, dispatch.Fleet{})
 		time.Sleep(5 * time.Second)
 		is.True(s.reads.Load()+s.configurationReads.Load() > before)
 		time.Sleep(55 * time.Second)
@@ -269,7 +269,7 @@
 	s := &source{backEnds: 3}
 	follow(t, s, 40, false, func(state *gateway.State) {
 		time.Sleep(time.Minute)
-		state.SetFleet(gateway.Place{Gateways: 40, Duty: gateway.Reads}, dispatch.Fleet{})
+		state.SetFleet(gateway.Place{Gateways: 40, Duty: gateway.Reader}, dispatch.Fleet{})
 		time.Sleep(100 * time.Millisecond)
 		is.True(s.watches.Load() > 0)
 	})
@@ -282,7 +282,7 @@
 	count := func(rank int) int64 {
 		s := &source{backEnds: 3, changePeriod: 10 * time.Millisecond}
 		follow(t, s, 23, true, func(state *gateway.State) {
-			state.SetFleet(gateway.Place{Gateways: 23, Duty: gateway.Reads, Rank: rank}, dispatch.Fleet{})
+			state.SetFleet(gateway.Place{Gateways: 23, Duty: gateway.Reader, Rank: rank}, dispatch.Fleet{})
 			time.Sleep(20 * time.Second)
 		})
 		return s.watches.Load()
--- a/internal/follower/list.go
+++ b/internal/follower/list.go
@@ -90,7 +90,7 @@
 		read: func(ctx context.Context, stale bool) (catalog.Position, error) {
 			all, at, err := objects.List(ctx, stale)
 			if err == nil {
-				reached.state.HearEra(at.Era)
+				reached.state.ObserveEra(at.Era)
 				takeList(all, at)
 			}
 			return at, err
@@ -100,7 +100,7 @@
 			defer cancel()
 			changes, at, err := objects.Await(ctx, after, watchTime)
 			if err == nil {
-				reached.state.HearEra(at.Era)
+				reached.state.ObserveEra(at.Era)
 				takeChanges(changes)
 			}
 			return at, err
--- a/internal/follower/recall.go
+++ b/internal/follower/recall.go
@@ -46,7 +46,7 @@
 		}
 		if f.config.State.Place().Rank == 0 && f.config.State.HasWarmUps() {
 			f.recall(ctx, position)
-			f.config.State.SetRecalled()
+			f.config.State.SetRestorationsKnown()
 		}
 		return
 	}
--- a/internal/follower/recall_test.go
+++ b/internal/follower/recall_test.go
@@ -49,7 +49,7 @@
 	is := is.New(t)
 	s := storeAfterARestoration()
 	follow(t, s, 23, true, func(state *gateway.State) {
-		state.SetFleet(gateway.Place{Gateways: 23, Duty: gateway.Reads, Rank: 1}, dispatch.Fleet{})
+		state.SetFleet(gateway.Place{Gateways: 23, Duty: gateway.Reader, Rank: 1}, dispatch.Fleet{})
 		time.Sleep(2 * recallDelay)
 		is.Equal(s.askedBefore.Load(), int64(0))
 	})
--- a/internal/follower/rollouts.go
+++ b/internal/follower/rollouts.go
@@ -42,7 +42,7 @@
 		if !f.config.State.HasRollouts() {
 			continue
 		}
-		found := f.config.State.LookAtRollouts()
+		found := f.config.State.EvaluateRollouts()
 		now := f.config.State.Clock().Now()
 		still := map[string]dueRollout{}
 		for _, record := range found {
@@ -64,7 +64,7 @@
 // rolloutDelay is the time until this gateway writes what it found due.
 func (f *Follower) rolloutDelay() time.Duration {
 	place := f.config.State.Place()
-	if place.Duty == gateway.Reads {
+	if place.Duty == gateway.Reader {
 		return time.Duration(place.Rank) * rolloutTurn
 	}
 	return othersTurn + rand.N(time.Duration(max(place.Gateways, 1))*time.Second/triesPerSecond)
@@ -77,7 +77,7 @@
 		return f.config.Source.WriteRollout(ctx, record)
 	})
 	if err == nil {
-		f.config.State.HearEra(written.Era)
+		f.config.State.ObserveEra(written.Era)
 		f.config.State.OfferRollouts([]catalog.Rollout{written}, gateway.SourceStore)
 		return
 	}
--- a/internal/follower/rollouts_test.go
+++ b/internal/follower/rollouts_test.go
@@ -75,7 +75,7 @@
 			config.Rollout = rollout.Limits{Share: 0.1, Extra: 50}
 			state := gateway.NewState(dispatch.New(config), log)
 			state.AwaitRollouts()
-			state.SetFleet(gateway.Place{Gateways: gateways, Duty: gateway.Reads, Rank: rank}, dispatch.Fleet{})
+			state.SetFleet(gateway.Place{Gateways: gateways, Duty: gateway.Reader, Rank: rank}, dispatch.Fleet{})
 			states = append(states, state)
 			followers = append(followers, Start(Config{Source: s, State: state, ReadPeriod: 800 * time.Millisecond, Rollouts: true, Log: log, Metrics: tally.NoopScope}))
 		}
--- a/internal/follower/withheld.go
+++ b/internal/follower/withheld.go
@@ -20,7 +20,7 @@
 	}
 	for {
 		select {
-		case <-f.config.State.Recordable():
+		case <-f.config.State.UnrecordedReady():
 		case <-ctx.Done():
 			return
 		}
@@ -67,7 +67,7 @@
 			return err
 		}
 	}
-	f.config.State.TakeCrashes(current)
+	f.config.State.MergeCrashes(current)
 	return nil
 }
 
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -19,7 +19,7 @@
 // passOn gives the caller a back end's answer.
 func (h *Handler) passOn(ctx context.Context, c *call, result outcome) {
 	defer func() { result.cancel() }()
-	h.config.Metrics.headCame(c, h.clock().Since(c.began))
+	h.config.Metrics.headReceived(c, h.clock().Since(c.began))
 	if result.body != nil {
 		hop.CopyEndToEnd(c.writer.Header(), result.answer.Header)
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(result.body)))
@@ -50,7 +50,7 @@
 }
 
 // errBehind means that a continued stream doesn't follow the last event.
-var errBehind = errors.New("the continued stream leaves out an event")
+var errEventGap = errors.New("the continued stream leaves out an event")
 
 // passStream passes events on as they come, and continues a stream that breaks
 // off at another back end where the route allows it. An answer that can't be
@@ -76,22 +76,22 @@
 }
 
 // callerError marks a failure to write to the caller.
-type callerError struct{ cause error }
+type callerWriteError struct{ cause error }
 
-func (e *callerError) Error() string { return "write to the caller: " + e.cause.Error() }
-func (e *callerError) Unwrap() error { return e.cause }
+func (e *callerWriteError) Error() string { return "write to the caller: " + e.cause.Error() }
+func (e *callerWriteError) Unwrap() error { return e.cause }
 
 const (
 	// pausesUntilSilent and leastSilence bound the pause after which a stream
 	// that can be continued elsewhere is given up.
-	pausesUntilSilent = 4
-	leastSilence      = time.Second
+	silenceFactor = 4
+	minSilence    = time.Second
 )
 
 // copyEvents passes whole events on until the stream ends.
 func (h *Handler) copyEvents(c *call, s *stream, result outcome) error {
-	watch := h.watchPauses(c, result)
-	defer watch.stop()
+	silence := h.watchSilence(c, result)
+	defer silence.stop()
 	reader := eventstream.NewReader(result.answer.Body)
 	for {
 		event, err := reader.Next()
@@ -101,44 +101,44 @@
 		if err != nil {
 			return err
 		}
-		watch.reset()
+		silence.reset()
 		if s.events == 0 {
 			// The head goes out with the first event: until then another back end's
 			// answer, or a refusal, can still take this one's place.
 			hop.CopyEndToEnd(c.writer.Header(), result.answer.Header)
 			c.writer.WriteHeader(result.answer.StatusCode)
 		}
-		fresh, err := s.follows(event.ID)
+		isNext, err := s.isNext(event.ID)
 		if err != nil {
 			return err
 		}
-		if !fresh {
+		if !isNext {
 			continue
 		}
-		if err := s.pass(c.writer, event); err != nil {
-			return &callerError{err}
+		if err := s.write(c.writer, event); err != nil {
+			return &callerWriteError{err}
 		}
 	}
 }
 
 // follows tells whether the event is the next one; one that the caller has is
 // passed over.
-func (s *stream) follows(id string) (fresh bool, err error) {
+func (s *stream) isNext(id string) (isNext bool, err error) {
 	if id == "" || s.lastID == "" {
 		return true, nil
 	}
 	last, lastErr := strconv.ParseInt(s.lastID, 10, 64)
-	now, nowErr := strconv.ParseInt(id, 10, 64)
-	if lastErr != nil || nowErr != nil {
+	next, nextErr := strconv.ParseInt(id, 10, 64)
+	if lastErr != nil || nextErr != nil {
 		return true, nil
 	}
-	if now > last+1 {
-		return false, errBehind
+	if next > last+1 {
+		return false, errEventGap
 	}
-	return now > last, nil
+	return next > last, nil
 }
 
-func (s *stream) pass(w http.ResponseWriter, event eventstream.Event) error {
+func (s *stream) write(w http.ResponseWriter, event eventstream.Event) error {
 	if _, err := w.Write(event.Raw); err != nil {
 		return err
 	}
@@ -152,7 +152,7 @@
 // pauseWatch ends an attempt that has been silent for too long. Where this process
 // itself runs late, what has come may not have been read yet: it is given that much
 // more time, once for each silence.
-type pauseWatch struct {
+type silenceTimer struct {
 	timer *time.Timer
 	limit time.Duration
 	lag   func() time.Duration
@@ -161,48 +161,48 @@
 	cancel   func()
 }
 
-func (p *pauseWatch) fire() {
-	if late := p.lag(); late > 0 && !p.extended.Swap(true) {
-		p.timer.Reset(late)
+func (t *silenceTimer) fire() {
+	if late := t.lag(); late > 0 && !t.extended.Swap(true) {
+		t.timer.Reset(late)
 		return
 	}
-	p.cancel()
+	t.cancel()
 }
 
-func (h *Handler) watchPauses(c *call, result outcome) *pauseWatch {
-	watch := &pauseWatch{
-		limit: max(leastSilence, pausesUntilSilent*c.route.PauseObjective),
+func (h *Handler) watchSilence(c *call, result outcome) *silenceTimer {
+	silence := &silenceTimer{
+		limit: max(minSilence, silenceFactor*c.route.PauseObjective),
 		lag:   h.config.State.Lag, cancel: result.cancel,
 	}
 	if c.route.Resumable && c.exchange.Attempts() < c.route.MaxAttempts {
-		watch.start()
+		silence.start()
 	}
-	return watch
+	return silence
 }
 
 // start begins to watch.
-func (p *pauseWatch) start() {
+func (t *silenceTimer) start() {
 	started := make(chan struct{})
-	p.timer = time.AfterFunc(p.limit, func() { <-started; p.fire() })
+	t.timer = time.AfterFunc(t.limit, func() { <-started; t.fire() })
 	close(started)
 }
 
-func (p *pauseWatch) reset() {
-	if p.timer != nil {
-		p.extended.Store(false)
-		p.timer.Reset(p.limit)
+func (t *silenceTimer) reset() {
+	if t.timer != nil {
+		t.extended.Store(false)
+		t.timer.Reset(t.limit)
 	}
 }
 
-func (p *pauseWatch) stop() {
-	if p.timer != nil {
-		p.timer.Stop()
+func (t *silenceTimer) stop() {
+	if t.timer != nil {
+		t.timer.Stop()
 	}
 }
 
 // resume tries to continue a broken stream at another back end.
 func (h *Handler) resume(ctx context.Context, c *call, s *stream, broken outcome, cause error) (outcome, bool) {
-	var caller *callerError
+	var caller *callerWriteError
 	if c.request.Context().Err() != nil || errors.As(cause, &caller) {
 		return outcome{}, false
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -30,7 +30,7 @@
 }
 
 // maxHeldBytes bounds an answer that is read whole before it is passed on.
-const maxHeldBytes = 8 << 20
+const maxBufferedAnswer = 8 << 20
 
 // attempt sends the request to one back end.
 func (h *Handler) attempt(ctx context.Context, c *call, send dispatch.Send, resumeAfter string) outcome {
@@ -38,16 +38,16 @@
 	ctx, cancel := context.WithCancel(ctx)
 	var expired atomic.Bool
 	if send.HeadTimeout > 0 {
-		watch := &pauseWatch{limit: send.HeadTimeout, lag: h.config.State.Lag, cancel: func() { expired.Store(true); cancel() }}
-		watch.start()
-		defer watch.stop()
+		silence := &silenceTimer{limit: send.HeadTimeout, lag: h.config.State.Lag, cancel: func() { expired.Store(true); cancel() }}
+		silence.start()
+		defer silence.stop()
 	}
 	response, err := h.roundTrip(ctx, c, send, resumeAfter)
 	if err != nil {
 		cancel()
 		return outcome{next: h.noAnswer(c, send, err, expired.Load())}
 	}
-	result := h.judge(c, send, response)
+	result := h.checkAnswer(c, send, response)
 	if result.answer == nil {
 		_ = response.Body.Close()
 		cancel()
@@ -90,12 +90,12 @@
 }
 
 // middleRank is the rank that back ends give to requests without one.
-const middleRank = 5
+const defaultRank = 5
 
 // engineRank is the urgency that back ends are told.
 func (h *Handler) engineRank(c *call) int {
 	if h.config.Disabled[dispatch.EnginePriority] {
-		return middleRank
+		return defaultRank
 	}
 	return c.urgency
 }
@@ -106,44 +106,44 @@
 		return dispatch.Decision{GiveUp: failure.Wrap(failure.CallerGone, cause, "the caller left")}
 	}
 	notSent := hop.NothingSent(cause)
-	passed := !h.clock().Now().Before(c.deadline)
-	if (expired || passed) && !notSent && c.route.MayRepeat() {
-		h.giveUpKept()
+	deadlinePassed := !h.clock().Now().Before(c.deadline)
+	if (expired || deadlinePassed) && !notSent && c.route.MayRepeat() {
+		h.closeReused()
 	}
 	next := h.decideSend(c, func(now time.Time, core *dispatch.Core) dispatch.Decision {
 		switch {
 		case notSent:
 			return core.NotConnected(now, c.exchange)
-		case expired || passed:
+		case expired || deadlinePassed:
 			return core.TimedOut(now, c.exchange)
 		default:
 			return core.ConnectionLost(now, c.exchange)
 		}
 	})
-	h.logFailure(c, attemptFailure{send: send, cause: cause.Error(), notSent: notSent, expired: expired, late: passed}, next)
+	h.logFailure(c, attemptFailure{send: send, cause: cause.Error(), notSent: notSent, expired: expired, deadlinePassed: deadlinePassed}, next)
 	return next
 }
 
 // judge decides whether an answer is the back end's own to this request.
-func (h *Handler) judge(c *call, send dispatch.Send, response *http.Response) outcome {
+func (h *Handler) checkAnswer(c *call, send dispatch.Send, response *http.Response) outcome {
 	facts := h.config.Dialect.ReadAnswer(response.StatusCode, response.Header)
 	foreign := facts.ID != c.facts.ID && (facts.ID != "" || !facts.NotRun)
 	unsigned := !facts.Signed || promisesNotRun(response.StatusCode)
 	if h.config.Disabled[dispatch.VerifyAnswers] {
 		foreign, unsigned = false, false
 	}
-	if !foreign && !facts.Elsewhere {
-		h.takeNotice(c, send, response.StatusCode, facts)
+	if !foreign && !facts.Misdirected {
+		h.applyNotice(c, send, response.StatusCode, facts)
 	}
 	switch {
 	case foreign || facts.Encoded:
 		return h.unusable(c, send, response, "the answer isn't one to this request")
-	case facts.Elsewhere && facts.Met != "" && facts.Met != send.BackEnd.ID:
-		return h.decided(c, send, response, "the back end "+facts.Met+" has the address", (*dispatch.Core).Displaced)
-	case facts.Elsewhere:
-		return h.decided(c, send, response, "another back end has the address", (*dispatch.Core).Misdirected)
+	case facts.Misdirected && facts.ActualBackEnd != "" && facts.ActualBackEnd != send.BackEnd.ID:
+		return h.rejectAnswer(c, send, response, "the back end "+facts.ActualBackEnd+" has the address", (*dispatch.Core).Displaced)
+	case facts.Misdirected:
+		return h.rejectAnswer(c, send, response, "another back end has the address", (*dispatch.Core).Misdirected)
 	case facts.NotRun:
-		return h.decided(c, send, response, "the back end refused", (*dispatch.Core).Refused)
+		return h.rejectAnswer(c, send, response, "the back end refused", (*dispatch.Core).Refused)
 	case unsigned:
 		return h.unusable(c, send, response, "the answer lacks the back end's signature")
 	}
@@ -184,30 +184,30 @@
 // as whole.
 func (h *Handler) readWhole(c *call, response *http.Response) ([]byte, error) {
 	defer response.Body.Close()
-	held := &heldReader{reader: io.LimitReader(response.Body, maxHeldBytes+1), handler: h, call: c, size: response.ContentLength}
-	whole, err := io.ReadAll(held)
-	if err == nil && len(whole) > maxHeldBytes {
-		err = errors.Errorf("the answer is larger than %d bytes", maxHeldBytes)
+	reader := &answerBodyReader{reader: io.LimitReader(response.Body, maxBufferedAnswer+1), handler: h, call: c, size: response.ContentLength}
+	whole, err := io.ReadAll(reader)
+	if err == nil && len(whole) > maxBufferedAnswer {
+		err = errors.Errorf("the answer is larger than %d bytes", maxBufferedAnswer)
 	}
 	return whole, err
 }
 
-func (h *Handler) unusable(c *call, send dispatch.Send, response *http.Response, why string) outcome {
-	return h.decided(c, send, response, why, (*dispatch.Core).InvalidAnswer)
+func (h *Handler) unusable(c *call, send dispatch.Send, response *http.Response, cause string) outcome {
+	return h.rejectAnswer(c, send, response, cause, (*dispatch.Core).InvalidAnswer)
 }
 
-func (h *Handler) decided(c *call, send dispatch.Send, response *http.Response, why string, step func(*dispatch.Core, time.Time, *dispatch.Exchange) dispatch.Decision) outcome {
+func (h *Handler) rejectAnswer(c *call, send dispatch.Send, response *http.Response, cause string, step func(*dispatch.Core, time.Time, *dispatch.Exchange) dispatch.Decision) outcome {
 	next := h.decideSend(c, func(now time.Time, core *dispatch.Core) dispatch.Decision {
 		return step(core, now, c.exchange)
 	})
-	h.logFailure(c, attemptFailure{send: send, cause: why, status: response.StatusCode}, next)
+	h.logFailure(c, attemptFailure{send: send, cause: cause, status: response.StatusCode}, next)
 	return outcome{next: next}
 }
 
 // failed asks the core whether another attempt may help after a failure of the
 // back end's own; if not, its answer is passed on.
 func (h *Handler) failed(c *call, send dispatch.Send, response *http.Response, result outcome) outcome {
-	tried := h.decided(c, send, response, "the back end failed", (*dispatch.Core).Failed)
+	tried := h.rejectAnswer(c, send, response, "the back end failed", (*dispatch.Core).Failed)
 	if tried.next.Send == nil && tried.next.GiveUp == nil {
 		return result
 	}
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -60,10 +60,10 @@
 	// NotRun is true when the back end promises that it did not run the request.
 	NotRun bool
 	// Elsewhere is true when another back end has the address.
-	Elsewhere bool
+	Misdirected bool
 	// Met names the back end that has the address where it is another one; "" where it doesn't
 	// tell.
-	Met string
+	ActualBackEnd string
 	// Encoded is true when the body isn't the back end's own bytes.
 	Encoded bool
 	// Load is the back end's load, or -1.
@@ -71,5 +71,5 @@
 	// Leaving is true when the back end says that it leaves: it wants no new work.
 	Leaving bool
 	// Rest is for how long the back end wants nothing from this gateway; 0 when it doesn't say.
-	Rest time.Duration
+	RetryAfter time.Duration
 }
--- a/internal/gateway/eras.go
+++ b/internal/gateway/eras.go
@@ -22,7 +22,7 @@
 }
 
 // HearEra takes the era that an answer of the store or a peer told; 0 where it told none.
-func (s *State) HearEra(era uint64) {
+func (s *State) ObserveEra(era uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	before := s.view.Era()
@@ -52,16 +52,16 @@
 }
 
 // Lacking returns the known records whose content isn't among the stored ones.
-func Lacking(known, stored []dispatch.CrashRecord) []dispatch.CrashRecord {
-	kept := make(map[dispatch.Fingerprint]bool, len(stored))
+func MissingRecords(known, stored []dispatch.CrashRecord) []dispatch.CrashRecord {
+	isStored := make(map[dispatch.Fingerprint]bool, len(stored))
 	for _, each := range stored {
-		kept[each.Fingerprint] = true
+		isStored[each.Fingerprint] = true
 	}
-	var lacking []dispatch.CrashRecord
+	var missing []dispatch.CrashRecord
 	for _, each := range known {
-		if !kept[each.Fingerprint] {
-			lacking = append(lacking, each)
+		if !isStored[each.Fingerprint] {
+			missing = append(missing, each)
 		}
 	}
-	return lacking
+	return missing
 }
--- a/internal/gateway/fingerprint_test.go
+++ b/internal/gateway/fingerprint_test.go
@@ -11,7 +11,7 @@
 	return &call{request: &http.Request{Host: host, Method: method, RequestURI: target}, tenant: tenant, body: []byte(body)}
 }
 
-func TestFingerprintIsOfTheContent(t *testing.T) {
+func TestFingerprintCoversRequestContent(t *testing.T) {
 	is := is.New(t)
 	base := callOf("h", "POST", "/a/b", "t", "body").fingerprints()
 	is.Equal(len(base), 1)
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -32,7 +32,7 @@
 	// MaxBodyBytes bounds a body where the configuration doesn't.
 	MaxBodyBytes int64
 	// Held bounds what is held for callers and back ends together.
-	Held *HeldBytes
+	Buffers *BufferLimit
 	// Lag tells when this process has stood still.
 	Lag *LagMeter
 	// Log and Metrics take what operators should know.
@@ -53,7 +53,7 @@
 type Handler struct {
 	config Config
 	// keptAnew is when the kept connections were last given up, in nanoseconds since 1970.
-	keptAnew atomic.Int64
+	idleClosedAt atomic.Int64
 }
 
 // NewHandler returns a handler.
@@ -65,13 +65,13 @@
 // keptAnewPause is the least time between two times that kept connections are given up: a
 // back end that has gone silent lets many requests expire, and says nothing of the others'
 // connections.
-const keptAnewPause = 3 * time.Second
+const idleClosePause = 3 * time.Second
 
 // giveUpKept closes the kept connections after a request on one of them got no answer in
 // time: all may have fallen silent without a reset, and each would cost a further attempt.
-func (h *Handler) giveUpKept() {
-	now, before := time.Now().UnixNano(), h.keptAnew.Load()
-	if now-before < int64(keptAnewPause) || !h.keptAnew.CompareAndSwap(before, now) {
+func (h *Handler) closeReused() {
+	now, last := time.Now().UnixNano(), h.idleClosedAt.Load()
+	if now-last < int64(idleClosePause) || !h.idleClosedAt.CompareAndSwap(last, now) {
 		return
 	}
 	h.config.Reused.CloseIdleConnections()
@@ -91,9 +91,9 @@
 	urgency  int
 	exchange *dispatch.Exchange
 	// heldRequest and heldAnswer are what it holds of Config.Held.
-	heldRequest, heldAnswer int64
+	bufferedRequest, bufferedAnswer int64
 	// unlogged are the decisions that the log's budget left out.
-	unlogged []sendDecision
+	unloggedSends []sendDecision
 }
 
 // defaultTimeout is used for callers that don't say how long they wait and
@@ -103,8 +103,8 @@
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := &call{request: r, writer: w, began: h.clock().Now(), facts: h.config.Dialect.ReadRequest(r.Header)}
-	defer h.release(c)
-	h.boundWriting(c, defaultTimeout)
+	defer h.releaseBuffers(c)
+	h.setWriteDeadline(c, defaultTimeout)
 	if h.config.State.Draining() {
 		w.Header().Set("Connection", "close")
 	}
@@ -136,11 +136,11 @@
 	if c.facts.ID == "" {
 		return failure.New(failure.InvalidRequest, "the request's ID is missing; send one that is unique")
 	}
-	if !h.config.Disabled[dispatch.LoadShedding] && !h.config.State.HasTime(c.urgency, c.facts.ID) {
+	if !h.config.Disabled[dispatch.LoadShedding] && !h.config.State.ShouldAdmit(c.urgency, c.facts.ID) {
 		return failure.New(failure.Overloaded, "this gateway has too little time for one more request; ask another")
 	}
-	c.deadline = c.began.Add(earliest(c.facts.Timeout, c.route.Timeout))
-	h.boundWriting(c, h.clock().Until(c.deadline))
+	c.deadline = c.began.Add(shortestTimeout(c.facts.Timeout, c.route.Timeout))
+	h.setWriteDeadline(c, h.clock().Until(c.deadline))
 	return h.readBody(c, index.Configuration().Limits.MaxBodyBytes)
 }
 
@@ -170,7 +170,7 @@
 	return max(0, min(rank, lastRank))
 }
 
-func earliest(times ...time.Duration) time.Duration {
+func shortestTimeout(times ...time.Duration) time.Duration {
 	shortest := defaultTimeout
 	for _, each := range times {
 		if each > 0 && each < shortest {
@@ -190,7 +190,7 @@
 	if err := controller.SetReadDeadline(time.Now().Add(h.clock().Until(c.deadline))); err != nil {
 		return failure.Wrap(failure.Internal, err, "bound the time of the body")
 	}
-	body, err := io.ReadAll(&admittedReader{reader: http.MaxBytesReader(c.writer, c.request.Body, limit), handler: h, call: c})
+	body, err := io.ReadAll(&requestBodyReader{reader: http.MaxBytesReader(c.writer, c.request.Body, limit), handler: h, call: c})
 	if errors.Is(err, errNoRoom) {
 		return failure.New(failure.Overloaded, "this gateway holds too much for callers that read slowly; ask another")
 	}
@@ -236,7 +236,7 @@
 // decideSend runs a step that may decide on an attempt, once this process knows what happened
 // while it stood still.
 func (h *Handler) decideSend(c *call, step func(now time.Time, core *dispatch.Core) dispatch.Decision) dispatch.Decision {
-	if wait := h.config.Lag.Unsettled(h.clock().Now()); wait > 0 {
+	if wait := h.config.Lag.SettleWait(h.clock().Now()); wait > 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
--- a/internal/gateway/heldbytes.go
+++ b/internal/gateway/heldbytes.go
@@ -13,66 +13,66 @@
 // that don't read their answers cost no new request its place, and an answer that is ready finds
 // room once others have been read: its back end waits, and what has run isn't lost. It is safe
 // for concurrent use.
-type HeldBytes struct {
+type BufferLimit struct {
 	// each is the bound on requests and that on answers; 0 for none.
-	each int64
+	limitPerKind int64
 
 	mutex    sync.Mutex
 	requests int64
 	answers  int64
 	// freed is closed and replaced when bytes of answers are released, if isAwaited.
-	freed     chan struct{}
-	isAwaited bool
+	freed      chan struct{}
+	hasWaiters bool
 }
 
 const (
 	// heldUrgencyStep is by how much less of the bound each less urgent rank may fill, up to
 	// lastHeldUrgency ranks.
-	heldUrgencyStep = 0.1
-	lastHeldUrgency = 4
+	urgencyStep     = 0.1
+	maxUrgencySteps = 4
 	// smallAnswer is the size up to which an answer may use all of the bound on answers; what
 	// is larger, or doesn't tell its size, leaves smallPart of it, as one in so many. Most
 	// answers are small, and mustn't wait for callers that let large ones lie.
-	smallAnswer = 8 << 10
-	smallPart   = 4
+	smallAnswer        = 8 << 10
+	smallAnswerReserve = 4
 )
 
 // NewHeldBytes returns a bound on both together; 0 sets none.
-func NewHeldBytes(limit int64) *HeldBytes {
-	return &HeldBytes{each: limit / 2, freed: make(chan struct{})}
+func NewBufferLimit(limit int64) *BufferLimit {
+	return &BufferLimit{limitPerKind: limit / 2, freed: make(chan struct{})}
 }
 
 // Admit holds bytes of a new request of an urgency, 0 for the most urgent, and tells whether it
 // may.
-func (h *HeldBytes) Admit(bytes int64, urgency int) bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	part := 1 - heldUrgencyStep*float64(min(urgency, lastHeldUrgency))
-	if h.each > 0 && float64(h.requests+bytes) > part*float64(h.each) {
+func (b *BufferLimit) AcquireRequest(bytes int64, urgency int) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	part := 1 - urgencyStep*float64(min(urgency, maxUrgencySteps))
+	if b.limitPerKind > 0 && float64(b.requests+bytes) > part*float64(b.limitPerKind) {
 		return false
 	}
-	h.requests += bytes
+	b.requests += bytes
 	return true
 }
 
 // Hold holds further bytes of an answer of which so many are held, and waits for room until the
 // context ends. size is that of the whole answer, below 0 where it isn't told. One that is larger
 // than the bound by itself finds room once it is alone.
-func (h *HeldBytes) Hold(ctx context.Context, bytes, before, size int64) error {
-	room := h.each
+func (b *BufferLimit) AcquireAnswer(ctx context.Context, bytes, acquired, size int64) error {
+	room := b.limitPerKind
 	if size < 0 || size > smallAnswer {
-		room -= h.each / smallPart
+		room -= b.limitPerKind / smallAnswerReserve
 	}
 	for {
-		h.mutex.Lock()
-		if h.each <= 0 || h.answers == before || h.answers+bytes <= room {
-			h.answers += bytes
-			h.mutex.Unlock()
+		b.mutex.Lock()
+		if b.limitPerKind <= 0 || b.answers == acquired || b.answers+bytes <= room {
+			b.answers += bytes
+			b.mutex.Unlock()
 			return nil
 		}
-		freed := h.freed
-		h.isAwaited = true
-		h.mutex.Unlock()
+		freed := b.freed
+		b.hasWaiters = true
+		b.mutex.Unlock()
 		select {
 		case <-freed:
 		case <-ctx.Done():
@@ -82,21 +82,21 @@
 }
 
 // Release gives bytes of a request and of its answer back.
-func (h *HeldBytes) Release(request, answer int64) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.requests -= request
-	h.answers -= answer
-	if answer > 0 && h.isAwaited {
-		h.isAwaited = false
-		close(h.freed)
-		h.freed = make(chan struct{})
+func (b *BufferLimit) Release(request, answer int64) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.requests -= request
+	b.answers -= answer
+	if answer > 0 && b.hasWaiters {
+		b.hasWaiters = false
+		close(b.freed)
+		b.freed = make(chan struct{})
 	}
 }
 
 // Held returns the bytes of requests and of answers that are held.
-func (h *HeldBytes) Held() (requests, answers int64) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return h.requests, h.answers
+func (b *BufferLimit) InUse() (requests, answers int64) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.requests, b.answers
 }
--- a/internal/gateway/lag.go
+++ b/internal/gateway/lag.go
@@ -19,40 +19,40 @@
 	// worst holds the largest delay of each of the last slots, the newest last.
 	worst [lagSlots]time.Duration
 	// latest are the last delays, in no order.
-	latest [lastingLooks]time.Duration
-	looks  int
+	samples     [sustainedSamples]time.Duration
+	sampleCount int
 	// lookedAt is the last moment at which the process is known to have run, and settledAt
 	// when it knows again what happened while it stood still.
-	lookedAt  time.Time
+	lastRanAt time.Time
 	settledAt time.Time
 }
 
 const (
 	// lagPeriod is the time between two looks at the clock.
-	lagPeriod = 20 * time.Millisecond
+	samplePeriod = 20 * time.Millisecond
 	// lagSlots times lagSlot is how long a delay counts.
 	lagSlots = 5
 	lagSlot  = 200 * time.Millisecond
 	// lastingLooks is the number of looks in a row that a lasting delay shows in.
-	lastingLooks = 4
+	sustainedSamples = 4
 	// ordinaryLag is the delay that timers have anyway.
-	ordinaryLag = 10 * time.Millisecond
+	normalLag = 10 * time.Millisecond
 	// standstill is how long a process must not have run to count as one that stood still:
 	// meanwhile zones may have been evacuated and restored, and back ends have turned cold.
 	// settleAfter is the time in which it then reads what its peers and the store have
 	// told. A process sent to cold back ends for 7 ms after it woke.
-	standstill  = time.Second
-	settleAfter = 100 * time.Millisecond
+	pauseThreshold = time.Second
+	settleTime     = 100 * time.Millisecond
 )
 
 // NewLagMeter returns a meter that has seen no delay.
 func NewLagMeter(clock *clock.Clock) *LagMeter { return &LagMeter{clock: clock} }
 
 // Run measures until done is closed. It tells the observer of each change.
-func (m *LagMeter) Run(done <-chan struct{}, observe func(lag, lasting time.Duration)) {
-	timer := time.NewTimer(lagPeriod)
+func (m *LagMeter) Run(done <-chan struct{}, observe func(lag, sustained time.Duration)) {
+	timer := time.NewTimer(samplePeriod)
 	defer timer.Stop()
-	due := time.Now().Add(lagPeriod)
+	due := time.Now().Add(samplePeriod)
 	slotEnds := due.Add(lagSlot)
 	for {
 		select {
@@ -61,46 +61,46 @@
 			return
 		}
 		now := time.Now()
-		m.Unsettled(m.clock.Now())
-		lag, lasting := m.Lag(), m.Lasting()
-		m.note(now.Sub(due), now.After(slotEnds))
+		m.SettleWait(m.clock.Now())
+		lag, sustained := m.Lag(), m.SustainedLag()
+		m.record(now.Sub(due), now.After(slotEnds))
 		if now.After(slotEnds) {
 			slotEnds = now.Add(lagSlot)
 		}
-		if m.Lag() != lag || m.Lasting() != lasting {
-			observe(m.Lag(), m.Lasting())
+		if m.Lag() != lag || m.SustainedLag() != sustained {
+			observe(m.Lag(), m.SustainedLag())
 		}
-		due = now.Add(lagPeriod)
-		timer.Reset(lagPeriod)
+		due = now.Add(samplePeriod)
+		timer.Reset(samplePeriod)
 	}
 }
 
 // Unsettled returns how long a decision must wait, since the process has stood still until a
 // moment ago; 0 as a rule.
-func (m *LagMeter) Unsettled(now time.Time) time.Duration {
+func (m *LagMeter) SettleWait(now time.Time) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if !m.lookedAt.IsZero() && now.Sub(m.lookedAt) >= standstill {
-		m.settledAt = now.Add(settleAfter)
+	if !m.lastRanAt.IsZero() && now.Sub(m.lastRanAt) >= pauseThreshold {
+		m.settledAt = now.Add(settleTime)
 	}
-	m.lookedAt = now
+	m.lastRanAt = now
 	return max(0, m.settledAt.Sub(now))
 }
 
 // note takes a delay, into a new slot where the last one has ended.
-func (m *LagMeter) note(late time.Duration, newSlot bool) {
+func (m *LagMeter) record(late time.Duration, newSlot bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if newSlot {
 		copy(m.worst[:], m.worst[1:])
 		m.worst[lagSlots-1] = 0
 	}
-	if late < ordinaryLag {
+	if late < normalLag {
 		late = 0
 	}
 	m.worst[lagSlots-1] = max(m.worst[lagSlots-1], late)
-	m.latest[m.looks%lastingLooks] = late
-	m.looks++
+	m.samples[m.sampleCount%sustainedSamples] = late
+	m.sampleCount++
 }
 
 // Lag returns the largest delay of the last second; 0 on a process that keeps time.
@@ -117,8 +117,8 @@
 // Lasting returns the smallest of the last few delays: it is 0 for a process that
 // was late once, after a pause for example, and high for one that has less
 // processor time than it needs.
-func (m *LagMeter) Lasting() time.Duration {
+func (m *LagMeter) SustainedLag() time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return slices.Min(m.latest[:])
+	return slices.Min(m.samples[:])
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -61,15 +61,15 @@
 }
 
 // firstByteBuckets are the bounds of the time to the head of an answer.
-var firstByteBuckets = tally.DurationBuckets{
+var timeToHeadBuckets = tally.DurationBuckets{
 	5 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond,
 	time.Second, 2500 * time.Millisecond, 5 * time.Second, 10 * time.Second,
 }
 
 // headCame notes the time to the head of an answer that is passed on.
-func (m *Metrics) headCame(c *call, after time.Duration) {
-	m.forCall(c).Histogram("time_to_head", firstByteBuckets).RecordDuration(after)
+func (m *Metrics) headReceived(c *call, after time.Duration) {
+	m.forCall(c).Histogram("time_to_head", timeToHeadBuckets).RecordDuration(after)
 }
 
 // answered counts an answer that was passed on whole.
@@ -94,7 +94,7 @@
 	switch {
 	case f.notSent:
 		return "unreachable"
-	case f.late:
+	case f.deadlinePassed:
 		return "deadline"
 	case f.expired:
 		return "silent"
@@ -144,7 +144,7 @@
 	for _, service := range gauges.Services {
 		scope := m.scope.Tagged(map[string]string{"service": m.service(service.Name)})
 		scope.Gauge("retry_budget").Update(service.RetryBudget)
-		scope.Gauge("under_way").Update(float64(service.UnderWay))
+		scope.Gauge("under_way").Update(float64(service.InFlight))
 		scope.Gauge("back_ends").Update(float64(service.BackEnds))
 		scope.Gauge("back_ends_unusable").Update(float64(service.Unusable))
 	}
@@ -189,7 +189,7 @@
 	// RetryBudget is the number of further attempts left, UnderWay the number of
 	// this gateway's requests at back ends.
 	RetryBudget float64
-	UnderWay    int
+	InFlight    int
 	// BackEnds counts those listed, and Unusable those believed not to work.
 	BackEnds int
 	Unusable int
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -10,20 +10,20 @@
 )
 
 // takeNotice takes what a back end's answer says of the back end itself.
-func (h *Handler) takeNotice(c *call, send dispatch.Send, status int, facts AnswerFacts) {
-	if !facts.Leaving && facts.Rest == 0 {
+func (h *Handler) applyNotice(c *call, send dispatch.Send, status int, facts AnswerFacts) {
+	if !facts.Leaving && facts.RetryAfter == 0 {
 		return
 	}
-	notice, isNews := dispatch.Notice{Leaving: facts.Leaving}, false
+	notice, isNew := dispatch.Notice{Leaving: facts.Leaving}, false
 	if facts.NotRun || promisesNotRun(status) {
-		notice.RetryAfter = facts.Rest
+		notice.RetryAfter = facts.RetryAfter
 	}
 	h.config.Metrics.noticed(c, notice)
 	h.config.State.decide(func(now time.Time, core *dispatch.Core) dispatch.Decision {
-		isNews = core.ApplyNotice(now, c.exchange, notice)
+		isNew = core.ApplyNotice(now, c.exchange, notice)
 		return dispatch.Decision{}
 	})
-	if !isNews {
+	if !isNew {
 		return
 	}
 	h.config.Log.Urgent(eventlog.BackEndNotice, logrus.Fields{
--- a/internal/gateway/orders.go
+++ b/internal/gateway/orders.go
@@ -11,15 +11,15 @@
 func (s *State) AwaitEvacuations() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.surveyed, s.recalled = false, false
+	s.knowsEvacuations, s.knowsRestorations = false, false
 }
 
 // SetRecalled notes that it is known which zones were restored of late.
-func (s *State) SetRecalled() {
+func (s *State) SetRestorationsKnown() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.recalled {
-		s.recalled = true
+	if !s.knowsRestorations {
+		s.knowsRestorations = true
 		s.announce()
 	}
 }
@@ -29,13 +29,13 @@
 // back ends turned cold and haven't said so yet. It does without the latter, which one gateway
 // reads for all, after startPatience.
 func (s *State) knowsOrders() bool {
-	needsNoRecall := s.view.Index() != nil && !s.core.HasWarmUps()
-	return s.surveyed && s.knowsRollouts && (s.recalled || needsNoRecall || s.clock.Since(s.startedAt) >= startPatience)
+	needsNoRestorations := s.view.Index() != nil && !s.core.HasWarmUps()
+	return s.knowsEvacuations && s.knowsRollouts && (s.knowsRestorations || needsNoRestorations || s.clock.Since(s.startedAt) >= startupWait)
 }
 
 // learn notes that all orders of a kind are known once they were told completely, and tells
 // whether they weren't before.
-func learn(known *bool, isComplete bool) (first bool) {
+func markKnown(known *bool, isComplete bool) (first bool) {
 	first = isComplete && !*known
 	*known = *known || isComplete
 	return first
@@ -45,7 +45,7 @@
 func (s *State) OfferEvacuationList(evacuations []catalog.Evacuation, at catalog.Position, source string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	first := learn(&s.surveyed, true)
+	first := markKnown(&s.knowsEvacuations, true)
 	s.applyEvacuations(s.view.OfferEvacuationList(evacuations, at), first, source)
 }
 
@@ -54,19 +54,19 @@
 func (s *State) OfferEvacuations(evacuations []catalog.Evacuation, source string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	first := learn(&s.surveyed, source != SourceStore)
-	s.recalled = s.recalled || source == SourcePeer
+	first := markKnown(&s.knowsEvacuations, source != SourceStore)
+	s.knowsRestorations = s.knowsRestorations || source == SourcePeer
 	s.applyEvacuations(s.view.OfferEvacuations(evacuations), first, source)
 }
 
 // applyEvacuations passes on what is news; first is set when the gateway hasn't known
 // which zones are evacuated.
-func (s *State) applyEvacuations(news []catalog.Evacuation, first bool, source string) {
-	if len(news) == 0 && !first {
+func (s *State) applyEvacuations(changed []catalog.Evacuation, first bool, source string) {
+	if len(changed) == 0 && !first {
 		return
 	}
 	var restored []catalog.Evacuation
-	for _, each := range news {
+	for _, each := range changed {
 		event := eventlog.ZoneEvacuated
 		if each.Withdrawn {
 			event = eventlog.ZoneRestored
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -8,12 +8,12 @@
 const (
 	// Learns: others read, and tell. A gateway that learns reads seldom, for when it loses
 	// its peers.
-	Learns Duty = iota
+	Learner Duty = iota
 	// StandsBy: fewer gateways than needed are known to be answered by the store, and
 	// others are to look for it first.
-	StandsBy
+	Standby
 	// Reads: it reads and watches all the time.
-	Reads
+	Reader
 )
 
 // Place is a gateway's among the others.
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -24,7 +24,7 @@
 func (s *State) OfferRolloutList(rollouts []catalog.Rollout, at catalog.Position, source string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	first := learn(&s.knowsRollouts, true)
+	first := markKnown(&s.knowsRollouts, true)
 	s.applyRollouts(s.view.OfferRolloutList(rollouts, at), first, source)
 }
 
@@ -33,29 +33,29 @@
 func (s *State) OfferRollouts(rollouts []catalog.Rollout, source string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	first := learn(&s.knowsRollouts, source != SourceStore)
+	first := markKnown(&s.knowsRollouts, source != SourceStore)
 	s.applyRollouts(s.view.OfferRollouts(rollouts), first, source)
 }
 
-func (s *State) applyRollouts(news []catalog.Rollout, first bool, source string) {
-	if len(news) == 0 && !first {
+func (s *State) applyRollouts(changed []catalog.Rollout, first bool, source string) {
+	if len(changed) == 0 && !first {
 		return
 	}
-	for _, each := range news {
+	for _, each := range changed {
 		s.log.Urgent(eventlog.RolloutChanged, logrus.Fields{
 			"service": each.Service, "target": each.Target, "duration": each.Duration.String(), "state": each.State.String(),
 			"withdrawn": each.Withdrawn, "era": each.Era, "revision": each.Revision, "source": source,
 		})
 	}
 	list := s.view.Rollouts()
-	s.core.SetRollouts(s.clock.Now(), list, agesOf(list, time.Now()))
-	s.logRollouts()
+	s.core.SetRollouts(s.clock.Now(), list, rolloutAges(list, time.Now()))
+	s.logRolloutChanges()
 	s.announce()
 }
 
 // agesOf returns how long ago the orders were given whose beginning stands in the store, by
 // the time of day.
-func agesOf(list []catalog.Rollout, now time.Time) map[string]time.Duration {
+func rolloutAges(list []catalog.Rollout, now time.Time) map[string]time.Duration {
 	ages := map[string]time.Duration{}
 	for _, each := range list {
 		if each.BeganAt > 0 {
@@ -66,7 +66,7 @@
 }
 
 // logRollouts writes the steps of roll-outs with the figures that decided.
-func (s *State) logRollouts() {
+func (s *State) logRolloutChanges() {
 	for _, each := range s.core.TakeRolloutChanges() {
 		fields := logrus.Fields{"service": each.Order.Service, "target": each.Order.Target}
 		event := eventlog.RolloutBegan
@@ -114,25 +114,25 @@
 
 // LookAtRollouts weighs the evidence, and returns the records that the store should hold and
 // doesn't, as far as this gateway knows.
-func (s *State) LookAtRollouts() []catalog.Rollout {
+func (s *State) EvaluateRollouts() []catalog.Rollout {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.clock.Now()
 	abandoned := s.core.EvaluateRollouts(now)
-	s.logRollouts()
+	s.logRolloutChanges()
 	if abandoned {
 		s.announce()
 	}
 	due := s.core.DueRolloutStates(now)
 	var unwritten []catalog.Rollout
 	for _, record := range s.view.Rollouts() {
-		each, known := due[record.Service]
-		if !known || record.Era != s.view.Era() || each.State <= record.State && !record.Unwritten {
+		progress, known := due[record.Service]
+		if !known || record.Era != s.view.Era() || progress.State <= record.State && !record.Unwritten {
 			continue
 		}
-		record.State = max(record.State, each.State)
+		record.State = max(record.State, progress.State)
 		if record.BeganAt == 0 {
-			record.BeganAt = time.Now().Add(-each.Age).UnixMilli()
+			record.BeganAt = time.Now().Add(-progress.Age).UnixMilli()
 		}
 		unwritten = append(unwritten, record)
 	}
@@ -147,28 +147,28 @@
 }
 
 // TakeTallies takes the tallies of all gateways.
-func (s *State) TakeTallies(told []rollout.Tally, totals dispatch.Totals) {
+func (s *State) SetTallyTotals(own []rollout.Tally, totals dispatch.Totals) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.core.SetTallyTotals(s.clock.Now(), told, totals)
+	s.core.SetTallyTotals(s.clock.Now(), own, totals)
 }
 
 // PeerTallies takes a peer's tallies in a small fleet.
-func (s *State) PeerTallies(peer string, tallies []rollout.Tally) {
+func (s *State) SetPeerTallies(peer string, tallies []rollout.Tally) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.core.SetPeerTallies(s.clock.Now(), peer, tallies)
 }
 
 // HearMarks takes what a peer tells of services that are being moved.
-func (s *State) HearMarks(marks []rollout.Mark) {
+func (s *State) MergeMarks(marks []rollout.Mark) {
 	if len(marks) == 0 {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.core.MergeMarks(s.clock.Now(), marks) {
-		s.logRollouts()
+		s.logRolloutChanges()
 		s.announce()
 	}
 }
--- a/internal/gateway/rolloutstatus.go
+++ b/internal/gateway/rolloutstatus.go
@@ -22,9 +22,9 @@
 	// that run at the standing version.
 	Sent     int `json:"sent"`
 	Exposed  int `json:"exposed"`
-	UnderWay int `json:"under_way_standing"`
+	InFlight int `json:"under_way_standing"`
 	// Awaits is what must be before it is completed.
-	Awaits []rollout.Wait       `json:"awaits,omitempty"`
+	Waits  []rollout.Wait       `json:"awaits,omitempty"`
 	Routes []RolloutRouteStatus `json:"routes"`
 }
 
@@ -34,15 +34,15 @@
 	// Share is the part of its requests that go to the candidate.
 	Share float64 `json:"share"`
 	// Doubt is the logarithm of how much likelier a bad candidate is by its answers.
-	Doubt     float64 `json:"doubt"`
-	Answers   uint32  `json:"answers"`
-	Failed    uint32  `json:"failed"`
-	Timed     uint32  `json:"timed"`
-	Slow      uint32  `json:"slow"`
-	UsualBad  uint32  `json:"standing_failed"`
-	UsualOf   uint32  `json:"standing_answers"`
-	UsualSlow uint32  `json:"standing_slow"`
-	UsualTime uint32  `json:"standing_timed"`
+	Doubt           float64 `json:"doubt"`
+	Answers         uint32  `json:"answers"`
+	Failed          uint32  `json:"failed"`
+	Timed           uint32  `json:"timed"`
+	Slow            uint32  `json:"slow"`
+	StandingFailed  uint32  `json:"standing_failed"`
+	StandingAnswers uint32  `json:"standing_answers"`
+	StandingSlow    uint32  `json:"standing_slow"`
+	StandingTimed   uint32  `json:"standing_timed"`
 }
 
 // rolloutStatus returns what this gateway knows of each move.
@@ -52,13 +52,13 @@
 		status := RolloutStatus{
 			Service: each.Order.Service, Target: each.Order.Target, State: each.State.String(), Abandoned: each.Abandoned,
 			Finding: each.Finding, AgeSeconds: each.Age.Seconds(), DurationSeconds: each.Order.Duration.Seconds(),
-			Sent: each.Sent, Exposed: each.Exposed, UnderWay: each.UnderWay, Awaits: each.Awaits, Routes: []RolloutRouteStatus{},
+			Sent: each.Sent, Exposed: each.Exposed, InFlight: each.UnderWay, Waits: each.Awaits, Routes: []RolloutRouteStatus{},
 		}
 		for _, route := range each.Routes {
 			status.Routes = append(status.Routes, RolloutRouteStatus{
 				Route: s.routeName(route.Route), Share: route.Share, Doubt: route.Doubt,
 				Answers: route.Candidate.Answers, Failed: route.Candidate.Failed, Timed: route.Candidate.Timed, Slow: route.Candidate.Slow,
-				UsualBad: route.Standing.Failed, UsualOf: route.Standing.Answers, UsualSlow: route.Standing.Slow, UsualTime: route.Standing.Timed,
+				StandingFailed: route.Standing.Failed, StandingAnswers: route.Standing.Answers, StandingSlow: route.Standing.Slow, StandingTimed: route.Standing.Timed,
 			})
 		}
 		list = append(list, status)
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -24,13 +24,13 @@
 	core  *dispatch.Core
 	// listed is set once all back ends are known: from the store, or bucket by bucket as
 	// peers know them that have a list. heard are these buckets.
-	listed   bool
-	heard    catalog.Buckets
-	draining bool
+	listed        bool
+	syncedBuckets catalog.Buckets
+	draining      bool
 	// surveyed is set once it is known which zones are evacuated.
-	surveyed bool
+	knowsEvacuations bool
 	// recalled is set once it is known which zones were restored of late.
-	recalled bool
+	knowsRestorations bool
 	// knowsRollouts is set once it is known which services are moved to another version.
 	knowsRollouts bool
 	// eraChanged is closed and replaced whenever the store begins a new era.
@@ -43,27 +43,27 @@
 	document        []byte
 	documentVersion uint64
 	// storeAt is when the store last answered.
-	storeAt time.Time
+	storeAnsweredAt time.Time
 	// place is this gateway's in the fleet, and dutyChanged is closed and replaced
 	// whenever its duty changes.
 	place       Place
 	dutyChanged chan struct{}
 	// frozen keeps the first configuration in force; only checks of checks set it.
-	frozen bool
+	configurationFrozen bool
 	// lag is how late this process runs what is due.
-	lag, lasting time.Duration
+	lag, sustainedLag time.Duration
 	// changed is closed and replaced whenever the view changes.
 	changed chan struct{}
 	// unreadable are the store's objects that couldn't be used when they were read last.
 	unreadable unreadable
 	// words is the number of lives of back ends that peers were woken for.
-	words uint64
+	announcedIncarnations uint64
 	// crashChanges is the number of changes of crashes that peers were woken for.
-	crashChanges uint64
+	announcedCrashChanges uint64
 	// unrecorded are contents that this gateway saw become withheld, or be released, and that
 	// the store doesn't know of yet; recordable is signalled with each.
-	unrecorded []dispatch.WithheldChange
-	recordable chan struct{}
+	unrecorded      []dispatch.WithheldChange
+	unrecordedReady chan struct{}
 }
 
 // NewState returns a state that knows nothing yet. Zones count as not evacuated until
@@ -71,9 +71,9 @@
 func NewState(core *dispatch.Core, log *eventlog.Log) *State {
 	return &State{
 		log: log, view: catalog.NewView(), core: core, changed: make(chan struct{}), startedAt: time.Now(),
-		place: Place{Gateways: 1, Duty: Reads}, dutyChanged: make(chan struct{}), surveyed: true, recalled: true,
+		place: Place{Gateways: 1, Duty: Reader}, dutyChanged: make(chan struct{}), knowsEvacuations: true, knowsRestorations: true,
 		knowsRollouts: true, eraChanged: make(chan struct{}),
-		recordable: make(chan struct{}, 1),
+		unrecordedReady: make(chan struct{}, 1),
 	}
 }
 
@@ -95,10 +95,10 @@
 }
 
 // Freeze keeps the first configuration in force, to show that checks notice.
-func (s *State) Freeze() {
+func (s *State) FreezeConfiguration() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.frozen = true
+	s.configurationFrozen = true
 }
 
 // IgnoreEras passes over the eras of the store, to show that checks notice.
@@ -119,20 +119,20 @@
 func (s *State) Ready() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.complete() && !s.draining
+	return s.canServe() && !s.draining
 }
 
 // startPatience is how long after its start a gateway lets callers wait until it is ready: as
 // a rule it is within 150 ms, sooner than a caller who is refused comes back. Until then
 // balancers send some callers to each gateway where most of a zone have just started.
-const startPatience = 250 * time.Millisecond
+const startupWait = 250 * time.Millisecond
 
 // AwaitReady returns once the gateway is ready, or isn't about to be.
 func (s *State) AwaitReady(ctx context.Context) {
 	for {
 		s.mutex.Lock()
-		left := startPatience - s.clock.Since(s.startedAt)
-		isAwaited, changed := !s.complete() && left > 0, s.changed
+		left := startupWait - s.clock.Since(s.startedAt)
+		isAwaited, changed := !s.canServe() && left > 0, s.changed
 		s.mutex.Unlock()
 		if !isAwaited {
 			return
@@ -150,7 +150,7 @@
 }
 
 // complete tells whether the gateway knows enough to serve.
-func (s *State) complete() bool { return s.view.Index() != nil && s.listed && s.knowsOrders() }
+func (s *State) canServe() bool { return s.view.Index() != nil && s.listed && s.knowsOrders() }
 
 // Draining tells whether the gateway is about to stop.
 func (s *State) Draining() bool {
@@ -175,7 +175,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	before := s.view.Version()
-	if s.frozen && before > 0 {
+	if s.configurationFrozen && before > 0 {
 		return
 	}
 	if !s.view.OfferConfiguration(configuration) {
@@ -194,7 +194,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.listed = true
-	s.apply(s.view.OfferList(entries, at), source)
+	s.applyEntries(s.view.OfferList(entries, at), source)
 }
 
 // OfferEntries takes changes of back ends.
@@ -204,7 +204,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.apply(s.view.OfferEntries(entries), source)
+	s.applyEntries(s.view.OfferEntries(entries), source)
 }
 
 // OfferBuckets takes the answer of a peer with a list: all that this gateway lacked of some
@@ -212,14 +212,14 @@
 func (s *State) OfferBuckets(buckets catalog.Buckets, entries []catalog.Entry) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.apply(s.view.OfferEntries(entries), SourcePeer)
-	s.hear(buckets)
+	s.applyEntries(s.view.OfferEntries(entries), SourcePeer)
+	s.markSynced(buckets)
 }
 
 // hear notes buckets of which all back ends are known that a peer with a list knows.
-func (s *State) hear(buckets catalog.Buckets) {
-	s.heard |= buckets
-	if !s.listed && s.heard == catalog.AllBuckets {
+func (s *State) markSynced(buckets catalog.Buckets) {
+	s.syncedBuckets |= buckets
+	if !s.listed && s.syncedBuckets == catalog.AllBuckets {
 		s.listed = true
 		s.announce()
 	}
@@ -233,13 +233,13 @@
 	SourceOwn = "own"
 )
 
-func (s *State) apply(news []catalog.Entry, source string) {
-	if len(news) == 0 {
+func (s *State) applyEntries(changed []catalog.Entry, source string) {
+	if len(changed) == 0 {
 		return
 	}
 	s.core.SetBackEnds(s.clock.Now(), s.view.BackEnds())
 	s.announce()
-	for _, entry := range news {
+	for _, entry := range changed {
 		s.log.Urgent(eventlog.BackEndChanged, logrus.Fields{
 			"back_end": entry.BackEnd.ID, "service": entry.BackEnd.Service, "address": entry.BackEnd.Address,
 			"leaving": entry.BackEnd.Leaving, "gone": entry.Gone, "era": entry.Era, "revision": entry.Revision, "source": source,
@@ -248,7 +248,7 @@
 }
 
 func (s *State) announce() {
-	if !s.wasReady && s.complete() {
+	if !s.wasReady && s.canServe() {
 		s.wasReady = true
 		s.log.Urgent(eventlog.Ready, logrus.Fields{"version": s.view.Version(), "back_ends": len(s.view.BackEnds())})
 	}
@@ -294,7 +294,7 @@
 func (s *State) StoreAnswered() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.storeAt = s.clock.Now()
+	s.storeAnsweredAt = s.clock.Now()
 }
 
 // decide runs a step of the core.
@@ -302,8 +302,8 @@
 	s.mutex.Lock()
 	decision := step(s.clock.Now(), s.core)
 	changes := s.core.TakeHealthChanges()
-	s.tellCrashes()
-	s.tellWords()
+	s.announceCrashes()
+	s.announceIncarnations()
 	s.mutex.Unlock()
 	for _, change := range changes {
 		s.log.Urgent(eventlog.BackEndHealth, logrus.Fields{
@@ -316,19 +316,19 @@
 
 // SetLag notes how late this process runs what is due, at the worst of late and
 // lastingly.
-func (s *State) SetLag(lag, lasting time.Duration) {
+func (s *State) SetLag(lag, sustained time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.lag = lag
-	s.lasting = lasting
+	s.sustainedLag = sustained
 	s.core.SetLag(lag)
 }
 
 // HasTime tells whether this process has time for one more request.
-func (s *State) HasTime(urgency int, id string) bool {
+func (s *State) ShouldAdmit(urgency int, id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return dispatch.ShouldAdmit(s.lasting, urgency, id)
+	return dispatch.ShouldAdmit(s.sustainedLag, urgency, id)
 }
 
 // Lag returns the worst delay that SetLag noted.
@@ -347,6 +347,8 @@
 }
 
 // longestAge stands for a store that never answered.
-const longestAge = time.Hour
+const maxStoreAge = time.Hour
 
-func (s *State) storeAge(now time.Time) time.Duration { return min(now.Sub(s.storeAt), longestAge) }
+func (s *State) storeAge(now time.Time) time.Duration {
+	return min(now.Sub(s.storeAnsweredAt), maxStoreAge)
+}
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -62,7 +62,7 @@
 	BackEnds    int     `json:"back_ends"`
 	Unusable    int     `json:"unusable"`
 	// UnderWay counts this gateway's own requests.
-	UnderWay int `json:"under_way"`
+	InFlight int `json:"under_way"`
 }
 
 // BackEndStatus is what a gateway believes of one back end.
@@ -90,7 +90,7 @@
 	defer s.mutex.Unlock()
 	now := s.clock.Now()
 	status := Status{
-		Role: RoleName, Gateways: s.place.Gateways, Reader: s.place.Duty == Reads,
+		Role: RoleName, Gateways: s.place.Gateways, Reader: s.place.Duty == Reader,
 		StoreAgeSeconds: s.storeAge(now).Seconds(), LoadAgeSeconds: s.core.PeerLoadAge(now).Seconds(),
 		Ready: ready, Draining: s.draining, Version: s.view.Version(), Evacuated: s.view.EvacuatedZones(),
 		Services: []ServiceStatus{}, BackEnds: []BackEndStatus{},
@@ -103,7 +103,7 @@
 	for _, service := range s.core.ServiceStatuses(now) {
 		status.Services = append(status.Services, ServiceStatus{
 			Name: service.Name, RetryBudget: service.RetryBudget, BackEnds: service.BackEnds,
-			Unusable: service.Unusable, UnderWay: service.UnderWay,
+			Unusable: service.Unusable, InFlight: service.InFlight,
 		})
 	}
 	for _, belief := range s.core.BackEndStatuses(now) {
--- a/internal/gateway/trail.go
+++ b/internal/gateway/trail.go
@@ -33,7 +33,7 @@
 	}
 	written := h.config.Log.Ordinary(eventlog.RequestSent, func() logrus.Fields { return h.sendFields(c, decision) })
 	if !written {
-		c.unlogged = append(c.unlogged, decision)
+		c.unloggedSends = append(c.unloggedSends, decision)
 	}
 }
 
@@ -57,13 +57,13 @@
 }
 
 // logTrail writes the decisions that were left out, since the request ends badly.
-func (h *Handler) logTrail(c *call) {
-	for _, decision := range c.unlogged {
+func (h *Handler) logUnloggedSends(c *call) {
+	for _, decision := range c.unloggedSends {
 		fields := h.sendFields(c, decision)
 		fields["decided_at"] = decision.at.Format(time.RFC3339Nano)
 		h.config.Log.Urgent(eventlog.RequestSent, fields)
 	}
-	c.unlogged = nil
+	c.unloggedSends = nil
 }
 
 // attemptFailure is an attempt that gave no answer to pass on, and what the core
@@ -77,19 +77,19 @@
 	events int
 	// notSent means that nothing of the request left, expired that the wait for an
 	// answer was given up, late that the request's deadline had passed.
-	notSent bool
-	expired bool
-	late    bool
+	notSent        bool
+	expired        bool
+	deadlinePassed bool
 }
 
 // longestLoggedPath bounds a path in a line, in bytes.
-const longestLoggedPath = 200
+const maxLoggedPath = 200
 
 // loggedPath is the request's path, without its query, as lines carry it: failures
 // that belong to one path are told apart by it.
 func (c *call) loggedPath() string {
 	path, _, _ := strings.Cut(c.request.RequestURI, "?")
-	return path[:min(len(path), longestLoggedPath)]
+	return path[:min(len(path), maxLoggedPath)]
 }
 
 // What follows from a failed attempt, as it is logged.
@@ -102,7 +102,7 @@
 // logFailure logs an attempt that failed together with what follows from it.
 func (h *Handler) logFailure(c *call, failed attemptFailure, next dispatch.Decision) {
 	h.config.Metrics.attemptFailed(c, failed)
-	h.logTrail(c)
+	h.logUnloggedSends(c)
 	fields := h.fields(c)
 	fields["back_end"] = failed.send.BackEnd.ID
 	fields["cause"] = failed.cause
@@ -112,7 +112,7 @@
 	fields["events"] = failed.events
 	fields["not_sent"] = failed.notSent
 	fields["expired"] = failed.expired
-	fields["deadline_passed"] = failed.late
+	fields["deadline_passed"] = failed.deadlinePassed
 	switch {
 	case next.Send != nil:
 		fields["next"] = nextAttempt
@@ -155,7 +155,7 @@
 	case isCallersFault(kind):
 		h.config.Log.Ordinary(eventlog.RequestRefused, fields)
 	default:
-		h.logTrail(c)
+		h.logUnloggedSends(c)
 		h.config.Log.Urgent(eventlog.RequestRefused, fields())
 	}
 }
@@ -173,7 +173,7 @@
 		h.config.Log.Ordinary(eventlog.CallerLeft, fields)
 		return
 	}
-	h.logTrail(c)
+	h.logUnloggedSends(c)
 	h.config.Log.Urgent(eventlog.RequestFailed, fields())
 }
 
@@ -189,7 +189,7 @@
 		return fields
 	}
 	if c.exchange.Attempts() > 1 || result.answer.StatusCode >= serverFailure {
-		h.logTrail(c)
+		h.logUnloggedSends(c)
 		h.config.Log.Urgent(eventlog.RequestDone, fields())
 		return
 	}
--- a/internal/gateway/unreadable.go
+++ b/internal/gateway/unreadable.go
@@ -11,7 +11,7 @@
 )
 
 // mostUnreadable bounds the objects that are remembered: another writer may make any number.
-const mostUnreadable = 256
+const maxUnreadable = 256
 
 // unreadable remembers the store's objects that can't be used, by kind and name, so that each
 // revision is told once.
@@ -31,7 +31,7 @@
 	if exists && known.At.Compare(object.At) >= 0 {
 		return false
 	}
-	if u.objects == nil || !exists && len(u.objects) >= mostUnreadable {
+	if u.objects == nil || !exists && len(u.objects) >= maxUnreadable {
 		u.objects = map[objectName]catalog.Unreadable{}
 	}
 	u.objects[key] = object
--- a/internal/gateway/withheld.go
+++ b/internal/gateway/withheld.go
@@ -8,13 +8,13 @@
 )
 
 // mostUnrecorded bounds the changes that wait for the store.
-const mostUnrecorded = 256
+const maxUnrecorded = 256
 
 // tellCrashes wakes who tells peers of crashes, logs which requests are withheld, and lets
 // the store be told.
-func (s *State) tellCrashes() {
-	if now := s.core.CrashChanges(); now != s.crashChanges {
-		s.crashChanges = now
+func (s *State) announceCrashes() {
+	if now := s.core.CrashChanges(); now != s.announcedCrashChanges {
+		s.announcedCrashChanges = now
 		s.announce()
 	}
 	for _, each := range s.core.TakeWithheldChanges() {
@@ -24,7 +24,7 @@
 		}
 		if each.Own {
 			source = SourceOwn
-			s.record(each)
+			s.queueUnrecorded(each)
 		}
 		s.log.Urgent(event, logrus.Fields{
 			"fingerprint": each.Record.Fingerprint.String(), "back_ends": len(each.Record.Incarnations), "source": source,
@@ -34,14 +34,14 @@
 
 // record keeps a change until the store has it. Where too many wait, the oldest is given up:
 // peers know it all the same.
-func (s *State) record(change dispatch.WithheldChange) {
-	if len(s.unrecorded) >= mostUnrecorded {
+func (s *State) queueUnrecorded(change dispatch.WithheldChange) {
+	if len(s.unrecorded) >= maxUnrecorded {
 		s.log.Urgent(eventlog.RecordGivenUp, logrus.Fields{"fingerprint": s.unrecorded[0].Record.Fingerprint.String()})
 		s.unrecorded = s.unrecorded[1:]
 	}
 	s.unrecorded = append(s.unrecorded, change)
 	select {
-	case s.recordable <- struct{}{}:
+	case s.unrecordedReady <- struct{}{}:
 	default:
 	}
 }
@@ -52,12 +52,12 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	released := s.core.ReleaseWithheld(fingerprint)
-	s.tellCrashes()
+	s.announceCrashes()
 	return released
 }
 
 // Recordable returns a channel that is signalled when TakeUnrecorded has something.
-func (s *State) Recordable() <-chan struct{} { return s.recordable }
+func (s *State) UnrecordedReady() <-chan struct{} { return s.unrecordedReady }
 
 // TakeUnrecorded returns the changes that the store must be told of, once.
 func (s *State) TakeUnrecorded() []dispatch.WithheldChange {
--- a/internal/hop/head.go
+++ b/internal/hop/head.go
@@ -63,7 +63,7 @@
 	// moment for a place rather than be refused.
 	Last bool `cbor:"13,keyasint,omitempty"`
 	// LoadsMet are the loads of the back ends that refused before.
-	LoadsMet []routing.LoadMet `cbor:"7,keyasint,omitempty"`
+	LoadsMet []routing.ReportedLoad `cbor:"7,keyasint,omitempty"`
 	// Unreachable are members of the pool that the router could not reach a
 	// moment ago.
 	Unreachable []string `cbor:"12,keyasint,omitempty"`
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -21,7 +21,7 @@
 	header := http.Header{}
 	head := Head{
 		RequestID: "r", BackEnd: "e1", Tenant: "t", Affine: true, Key: "k",
-		LoadsMet: []routing.LoadMet{{BackEnd: "e2", Load: 7}},
+		LoadsMet: []routing.ReportedLoad{{BackEnd: "e2", Load: 7}},
 		News:     News{Number: 3, Records: []membership.Record{{ID: "e3", Load: 9, Beat: 2}}},
 	}
 	is.NoErr(SetHead(header, head))
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -7,20 +7,20 @@
 	"github.com/matryer/is"
 )
 
-func TestRetryBudgetBoundsAttempts(t *testing.T) {
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	is := is.New(t)
 	budget := NewRetryBudget(0.25, 10)
-	further := 0
+	retries := 0
 	for range 1000 {
 		budget.Earn()
 		for budget.Spend() {
-			further++
+			retries++
 		}
 	}
-	is.Equal(further, 10+249) // what was saved up, and a quarter of the requests
+	is.Equal(retries, 10+249) // what was saved up, and a quarter of the requests
 }
 
-func TestTenantGetsItsShareOfTheFleet(t *testing.T) {
+func TestRouterEnforcesItsShareOfTenantLimit(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1_800_000_000, 0)
 	limiter := NewTenantLimiter()
--- a/internal/limits/tenant.go
+++ b/internal/limits/tenant.go
@@ -42,7 +42,7 @@
 			delete(l.limiters, tenant)
 		}
 	}
-	l.reshare(now)
+	l.applyShares(now)
 }
 
 // SetRouters notes the number of live routers, this one included.
@@ -51,10 +51,10 @@
 		return
 	}
 	l.routers = routers
-	l.reshare(now)
+	l.applyShares(now)
 }
 
-func (l *TenantLimiter) reshare(now time.Time) {
+func (l *TenantLimiter) applyShares(now time.Time) {
 	for tenant, limiter := range l.limiters {
 		perSecond, burst := l.share(tenant)
 		limiter.SetLimitAt(now, perSecond)
--- a/internal/limits/window_test.go
+++ b/internal/limits/window_test.go
@@ -11,32 +11,32 @@
 
 // However requests fall on the gateways, all together stay within the allowance
 // of any window.
-func TestSharesStayWithinTheBudget(t *testing.T) {
+func TestRetriesOfAllGatewaysStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, extra = 0.2, 56
 		gateways := rapid.IntRange(1, 9).Draw(t, "gateways")
-		budgets := make([]*ShareOfBudget, gateways)
+		budgets := make([]*RetryBudgetShare, gateways)
 		for i := range budgets {
-			budgets[i] = NewShareOfBudget(ratio, extra, gateways)
+			budgets[i] = NewRetryBudgetShare(ratio, extra, gateways)
 		}
-		requests, further := 0, 0
+		requests, retries := 0, 0
 		for range rapid.IntRange(0, 400).Draw(t, "requests") {
 			budget := budgets[rapid.IntRange(0, gateways-1).Draw(t, "gateway")]
 			budget.Earn()
 			requests++
 			for rapid.Bool().Draw(t, "fails") && budget.Spend() {
-				further++
+				retries++
 			}
 		}
-		if float64(further) > ratio*float64(requests)+extra {
-			t.Fatalf("%d further attempts for %d requests", further, requests)
+		if float64(retries) > ratio*float64(requests)+extra {
+			t.Fatalf("%d further attempts for %d requests", retries, requests)
 		}
 	})
 }
 
-func TestShareShrinksWithMoreGateways(t *testing.T) {
+func TestBudgetShareShrinksWithMoreGateways(t *testing.T) {
 	is := is.New(t)
-	budget := NewShareOfBudget(0.2, 50, 1)
+	budget := NewRetryBudgetShare(0.2, 50, 1)
 	is.True(budget.Tokens() > 20)
 	budget.SetGateways(10)
 	is.True(budget.Tokens() <= 5) // what was saved up as the only one is gone
--- a/internal/relay/book.go
+++ b/internal/relay/book.go
@@ -136,7 +136,7 @@
 // then a few more read, or the others' seldom reads make up for it. storeAge is how long ago
 // the store answered this gateway.
 func (b *Book) Place(now time.Time, storeAge time.Duration) gateway.Place {
-	place := gateway.Place{Gateways: b.Live(now), Duty: gateway.Reads}
+	place := gateway.Place{Gateways: b.Live(now), Duty: gateway.Reader}
 	if !b.isLinked(now) {
 		return place
 	}
@@ -144,10 +144,10 @@
 	place.Rank = b.before(reading)
 	switch {
 	case len(reading) == b.readers() && place.Rank == len(reading):
-		place.Duty = gateway.Learns
+		place.Duty = gateway.Learner
 	case len(reading) == b.readers() || storeAge <= b.freshStore():
 	case place.Rank+b.before(b.liveWithout(now, reading)) >= b.readers():
-		place.Duty = gateway.StandsBy
+		place.Duty = gateway.Standby
 	}
 	return place
 }
--- a/internal/relay/book_test.go
+++ b/internal/relay/book_test.go
@@ -69,7 +69,7 @@
 func all(int) bool { return true }
 
 func isReader(book *Book, now time.Time) bool {
-	return book.Place(now, time.Minute).Duty == gateway.Reads
+	return book.Place(now, time.Minute).Duty == gateway.Reader
 }
 
 func TestAFewGatewaysRead(t *testing.T) {
@@ -233,13 +233,13 @@
 	for _, book := range fleet(40, nobody) {
 		place := book.Place(start, time.Minute)
 		duties[place.Duty]++
-		if place.Duty == gateway.StandsBy {
+		if place.Duty == gateway.Standby {
 			standing = book
 		}
 	}
-	is.Equal(duties[gateway.Reads], mostReaders)
-	is.Equal(duties[gateway.StandsBy], 40-mostReaders)
-	is.Equal(standing.Place(start, 0).Duty, gateway.Reads)
+	is.Equal(duties[gateway.Reader], mostReaders)
+	is.Equal(duties[gateway.Standby], 40-mostReaders)
+	is.Equal(standing.Place(start, 0).Duty, gateway.Reader)
 }
 
 // Readers rank in hash order, so that each makes up for those before it.
@@ -247,7 +247,7 @@
 	is := is.New(t)
 	ranks := map[int]int{}
 	for _, book := range fleet(40, all) {
-		if place := book.Place(start, 0); place.Duty == gateway.Reads {
+		if place := book.Place(start, 0); place.Duty == gateway.Reader {
 			ranks[place.Rank]++
 		}
 	}
--- a/internal/relay/hear.go
+++ b/internal/relay/hear.go
@@ -51,7 +51,7 @@
 	if from.repair.wanted == 0 {
 		return
 	}
-	differing := r.config.State.Compare(from.repair.digest)
+	differing := r.config.State.CompareDigest(from.repair.digest)
 	r.mutex.Lock()
 	lacking := from.repair.next(r.config.State.Clock().Now(), &r.questions, differing)
 	r.mutex.Unlock()
@@ -94,7 +94,7 @@
 	r.mutex.Lock()
 	r.book.Heard(now, Peer{ID: message.From, Address: message.Address, StoreAgeMillis: message.StoreAgeMillis, Zone: message.Zone, Capacity: message.Capacity}, message.Peers)
 	r.mutex.Unlock()
-	r.config.State.HearEra(message.Era)
+	r.config.State.ObserveEra(message.Era)
 	if message.Document != nil && message.Version > r.config.State.Version() {
 		r.takeDocument(message)
 	}
@@ -109,13 +109,13 @@
 	if message.KnowsRollouts {
 		r.config.State.OfferRollouts(message.Rollouts, gateway.SourcePeer)
 	}
-	r.config.State.TakeDisplaced(message.Displaced)
-	r.config.State.TakeLeaving(message.Leaving)
-	r.config.State.HearMarks(message.Marks)
-	r.config.State.PeerTallies(message.From, message.Tallies)
-	r.config.State.PeerLoads(message.From, message.Loads)
-	r.config.State.PeerHoldings(message.Holdings)
-	r.config.State.TakeCrashes(message.Crashes)
+	r.config.State.MergeDisplaced(message.Displaced)
+	r.config.State.MergeLeaving(message.Leaving)
+	r.config.State.MergeMarks(message.Marks)
+	r.config.State.SetPeerTallies(message.From, message.Tallies)
+	r.config.State.SetPeerLoads(message.From, message.Loads)
+	r.config.State.MergePeerHoldings(message.Holdings)
+	r.config.State.MergeCrashes(message.Crashes)
 }
 
 func (r *Relay) takeDocument(message Message) {
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -111,7 +111,7 @@
 	return max(period, min(stretched, longestPeriod))
 }
 
-func (r *Relay) message(news gateway.News, peersAt time.Time) Message {
+func (r *Relay) message(news gateway.Update, peersAt time.Time) Message {
 	message := Message{
 		From:    r.config.ID,
 		Address: r.config.Address,
@@ -120,7 +120,7 @@
 		Entries: news.Entries,
 		Zone:    r.config.Zone, Capacity: r.config.Capacity,
 
-		Evacuations: news.Evacuations, Surveyed: news.Surveyed,
+		Evacuations: news.Evacuations, Surveyed: news.KnowsEvacuations,
 
 		Holdings:       news.Holdings,
 		Crashes:        news.Crashes,
--- a/internal/relay/tell.go
+++ b/internal/relay/tell.go
@@ -25,7 +25,7 @@
 
 // conversation is what the peer of one connection was told.
 type conversation struct {
-	told gateway.Told
+	told gateway.Cursors
 	// peersAt is when it was last told of other peers, and digestAt when a digest;
 	// digestWaits is set while another one waits for its time.
 	peersAt     time.Time
@@ -64,8 +64,8 @@
 func (r *Relay) nextMessage(to *link, talk *conversation) (message Message, changed <-chan struct{}) {
 	gateways := r.config.State.Place().Gateways
 	now := r.config.State.Clock().Now()
-	news := r.config.State.NewsSince(talk.told, talk.holdings.left(now, gateways))
-	talk.holdings.spend(now, int(news.Holding-talk.told.Holding))
+	news := r.config.State.UpdateSince(talk.told, talk.holdings.left(now, gateways))
+	talk.holdings.spend(now, int(news.HoldingsCursor-talk.told.Holdings))
 	r.holdDigest(&news, talk)
 	news.Entries = to.untold(news.Entries)
 	news.Holdings = to.untoldHoldings(news.Holdings)
@@ -78,22 +78,22 @@
 		message.Document = r.config.State.Document()
 	}
 	if message.Lacking = catalog.Buckets(to.lacking.Swap(0)); message.Lacking != 0 {
-		message.Sums = r.config.State.SumsOf(message.Lacking)
+		message.Sums = r.config.State.ChecksumsOf(message.Lacking)
 	}
 	r.answer(&message, to.takeAsked())
-	talk.told = gateway.Told{Listing: news.Listing, Change: news.Change, Evacuation: news.Evacuation, Holding: news.Holding, Crash: news.Crash, Rollout: news.Rollout, Displaced: news.Displacement, Leaving: news.Departure}
+	talk.told = gateway.Cursors{Digest: news.DigestCursor, Entries: news.EntriesCursor, Evacuations: news.EvacuationsCursor, Holdings: news.HoldingsCursor, Crashes: news.CrashesCursor, Rollouts: news.RolloutsCursor, Displaced: news.DisplacedCursor, Leaving: news.LeavingCursor}
 	return message, news.Changed
 }
 
 // holdDigest takes a digest out of the news that follows too soon on the one before.
-func (r *Relay) holdDigest(news *gateway.News, talk *conversation) {
+func (r *Relay) holdDigest(news *gateway.Update, talk *conversation) {
 	talk.digestWaits = false
 	if news.Digest == nil {
 		return
 	}
 	gateways := r.config.State.Place().Gateways
 	if IsLarge(gateways) && r.config.State.Clock().Since(talk.digestAt) < digestPeriod {
-		news.Digest, news.Listing = nil, talk.told.Listing
+		news.Digest, news.DigestCursor = nil, talk.told.Digest
 		talk.digestWaits = true
 		return
 	}
@@ -119,7 +119,7 @@
 	if asked.buckets == 0 {
 		return
 	}
-	entries, listed := r.config.State.Lacked(asked.buckets, asked.known)
+	entries, listed := r.config.State.MissingEntries(asked.buckets, asked.known)
 	if listed {
 		message.Answer = asked.buckets
 		message.Entries = append(message.Entries, entries...)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -249,7 +249,7 @@
 		RemainingMillis: request.Deadline.Sub(now).Milliseconds(),
 		Affine:          attempt.Affine,
 		Last:            c.isLast(exchange),
-		LoadsMet:        attempt.LoadsMet,
+		LoadsMet:        attempt.ReportedLoads,
 		Unreachable:     c.unreachable(now, request.Pool),
 		News:            c.news(now, request.Pool),
 	}
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -67,7 +67,7 @@
 
 // LoadMet is the load that a refusing back end reported: evidence of the pool's
 // load that travels with the next attempt.
-type LoadMet struct {
+type ReportedLoad struct {
 	// BackEnd refused the request.
 	BackEnd string `cbor:"1,keyasint"`
 	// Load is its load in requests.
@@ -94,20 +94,20 @@
 	// or owns the request's key.
 	Affine bool
 	// LoadsMet is the evidence gathered so far.
-	LoadsMet []LoadMet
+	ReportedLoads []ReportedLoad
 }
 
 // Route is the routing state of one request. It gives one attempt at a time, and
 // no back end twice but for one second look; see Next.
 type Route struct {
-	request  Request
-	order    []Member
-	tried    int
-	loadsMet []LoadMet
-	metAt    []time.Time
-	refusals []Refusal
+	request       Request
+	order         []Member
+	tried         int
+	reportedLoads []ReportedLoad
+	reportedAt    []time.Time
+	refusals      []Refusal
 	// lookedAgain is set once a member got its second attempt.
-	lookedAgain bool
+	retriedLeastLoaded bool
 }
 
 // RandomSource is the part of math/rand/v2 that the baselines need.
@@ -212,7 +212,7 @@
 }
 
 // freshLoad is the age to which a heard load may reorder the later attempts.
-const freshLoad = 2 * time.Second
+const maxLoadAge = 2 * time.Second
 
 // Next returns the next attempt; ok is false when every member was tried.
 //
@@ -226,44 +226,44 @@
 // bound; now the request brings what all the others carry.
 func (r *Route) Next(now time.Time) (attempt Attempt, ok bool) {
 	if r.tried >= len(r.order) {
-		return r.lookAgain(now)
+		return r.retryLeastLoaded(now)
 	}
-	if len(r.loadsMet) > 0 {
-		r.preferRoom()
+	if len(r.reportedLoads) > 0 {
+		r.promoteBest()
 	}
 	member := r.order[r.tried]
 	r.tried++
 	return Attempt{
-		BackEnd:  member.ID,
-		Affine:   r.isAffine(member),
-		LoadsMet: r.evidence(now),
+		BackEnd:       member.ID,
+		Affine:        r.isAffine(member),
+		ReportedLoads: r.loadEvidence(now),
 	}, true
 }
 
-func (r *Route) lookAgain(now time.Time) (Attempt, bool) {
-	if r.lookedAgain || r.request.Owner != "" || len(r.loadsMet) == 0 {
+func (r *Route) retryLeastLoaded(now time.Time) (Attempt, bool) {
+	if r.retriedLeastLoaded || r.request.Owner != "" || len(r.reportedLoads) == 0 {
 		return Attempt{}, false
 	}
-	r.lookedAgain = true
+	r.retriedLeastLoaded = true
 	least := 0
-	for i, met := range r.loadsMet {
-		if met.Load < r.loadsMet[least].Load {
+	for i, reported := range r.reportedLoads {
+		if reported.Load < r.reportedLoads[least].Load {
 			least = i
 		}
 	}
-	evidence := r.evidence(now)
-	return Attempt{BackEnd: r.loadsMet[least].BackEnd, LoadsMet: slices.Delete(evidence, least, least+1)}, true
+	evidence := r.loadEvidence(now)
+	return Attempt{BackEnd: r.reportedLoads[least].BackEnd, ReportedLoads: slices.Delete(evidence, least, least+1)}, true
 }
 
 // evidence returns the loads met with their ages. The process may have been
 // paused since.
-func (r *Route) evidence(now time.Time) []LoadMet {
-	if len(r.loadsMet) == 0 {
+func (r *Route) loadEvidence(now time.Time) []ReportedLoad {
+	if len(r.reportedLoads) == 0 {
 		return nil
 	}
-	evidence := slices.Clone(r.loadsMet)
+	evidence := slices.Clone(r.reportedLoads)
 	for i := range evidence {
-		evidence[i].AgeMillis = now.Sub(r.metAt[i]).Milliseconds()
+		evidence[i].AgeMillis = now.Sub(r.reportedAt[i]).Milliseconds()
 	}
 	return evidence
 }
@@ -281,22 +281,22 @@
 
 // crowdedAttempts is the number of refusals after which the least loaded member
 // is tried next instead of the next in rendezvous order.
-const crowdedAttempts = 2
+const refusalsUntilLeastLoaded = 2
 
 // preferRoom brings the best remaining member to the position to be tried next.
-func (r *Route) preferRoom() {
-	threshold := r.meanMet()
+func (r *Route) promoteBest() {
+	threshold := r.meanReportedLoad()
 	best := r.tried
 	// A flapping member that has room is better than a full steady one.
 	for i := r.tried; i < len(r.order); i++ {
 		if r.order[i].Health == HealthDoubtful && r.order[r.tried].Health != HealthDoubtful {
 			break
 		}
-		if len(r.loadsMet) < crowdedAttempts && r.hasRoom(r.order[i], threshold) {
+		if len(r.reportedLoads) < refusalsUntilLeastLoaded && r.hasRoom(r.order[i], threshold) {
 			best = i
 			break
 		}
-		if len(r.loadsMet) >= crowdedAttempts && r.lessLoaded(r.order[i], r.order[best]) {
+		if len(r.reportedLoads) >= refusalsUntilLeastLoaded && r.lessLoaded(r.order[i], r.order[best]) {
 			best = i
 		}
 	}
@@ -305,24 +305,24 @@
 	r.order[r.tried] = chosen
 }
 
-func (r *Route) meanMet() float64 {
+func (r *Route) meanReportedLoad() float64 {
 	total := 0
-	for _, met := range r.loadsMet {
-		total += met.Load
+	for _, reported := range r.reportedLoads {
+		total += reported.Load
 	}
-	return float64(total) / float64(len(r.loadsMet))
+	return float64(total) / float64(len(r.reportedLoads))
 }
 
 func (r *Route) hasRoom(member Member, threshold float64) bool {
-	if !member.LoadKnown || member.LoadAge > freshLoad {
+	if !member.LoadKnown || member.LoadAge > maxLoadAge {
 		return true
 	}
 	return float64(member.Load) < threshold
 }
 
 func (r *Route) lessLoaded(a, b Member) bool {
-	aKnown := a.LoadKnown && a.LoadAge <= freshLoad
-	bKnown := b.LoadKnown && b.LoadAge <= freshLoad
+	aKnown := a.LoadKnown && a.LoadAge <= maxLoadAge
+	bKnown := b.LoadKnown && b.LoadAge <= maxLoadAge
 	if aKnown != bKnown {
 		return aKnown
 	}
@@ -333,14 +333,14 @@
 func (r *Route) Refused(now time.Time, backEnd string, refusal Refusal) {
 	r.refusals = append(r.refusals, refusal)
 	if refusal.Kind == failure.OverBound || refusal.Kind == failure.QueueFull {
-		r.loadsMet = append(r.loadsMet, LoadMet{BackEnd: backEnd, Load: refusal.Load})
-		r.metAt = append(r.metAt, now)
+		r.reportedLoads = append(r.reportedLoads, ReportedLoad{BackEnd: backEnd, Load: refusal.Load})
+		r.reportedAt = append(r.reportedAt, now)
 	}
 }
 
 // Attempts returns how many attempts were given.
 func (r *Route) Attempts() int {
-	if r.lookedAgain {
+	if r.retriedLeastLoaded {
 		return r.tried + 1
 	}
 	return r.tried
@@ -348,7 +348,7 @@
 
 // IsExhausted tells whether Next has no attempt left, whatever comes of the
 // latest.
-func (r *Route) IsExhausted() bool { return r.lookedAgain }
+func (r *Route) IsExhausted() bool { return r.retriedLeastLoaded }
 
 // GiveUp returns the final answer of a request that no back end took. A sole
 // refusal is passed on; otherwise the answer is PoolExhausted, with the
@@ -367,11 +367,11 @@
 	return &failure.Error{
 		Kind:       failure.PoolExhausted,
 		Message:    "no back end of the pool has room; the request was not run",
-		RetryAfter: r.shortestWait(),
+		RetryAfter: r.shortestRetryAfter(),
 	}
 }
 
-func (r *Route) shortestWait() time.Duration {
+func (r *Route) shortestRetryAfter() time.Duration {
 	var shortest time.Duration
 	for _, refusal := range r.refusals {
 		if refusal.RetryAfter > 0 && (shortest == 0 || refusal.RetryAfter < shortest) {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -35,12 +35,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := names(rapid.IntRange(2, 20).Draw(t, "count"))
 		key := rapid.String().Draw(t, "key")
-		gone := rapid.SampledFrom(all).Draw(t, "gone")
+		removed := rapid.SampledFrom(all).Draw(t, "gone")
 		before := Rank(key, all)
-		rest := slices.DeleteFunc(slices.Clone(all), func(id string) bool { return id == gone })
-		want := slices.DeleteFunc(before, func(id string) bool { return id == gone })
+		rest := slices.DeleteFunc(slices.Clone(all), func(id string) bool { return id == removed })
+		want := slices.DeleteFunc(before, func(id string) bool { return id == removed })
 		if got := Rank(key, rest); !slices.Equal(got, want) {
-			t.Fatalf("without %s: %v, want %v", gone, got, want)
+			t.Fatalf("without %s: %v, want %v", removed, got, want)
 		}
 		if Owner(key, all) != Rank(key, all)[0] {
 			t.Fatal("the owner is not the first in rank")
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestTokenIsBoundToTenantAndUnaltered(t *testing.T) {
+func TestTokenOfOtherTenantOrAlteredIsRejected(t *testing.T) {
 	is := is.New(t)
 	sealer := NewTokenSealer([]byte("key"))
 	token := ChatToken{Chat: "c", Engine: "e1", Incarnation: 7, IssuedAt: 5, ContextTokens: 9}
@@ -139,7 +139,7 @@
 	is.Equal(order, []string{ranked[2], ranked[3], ranked[1]})
 }
 
-func TestRouteCarriesEvidenceAndPrefersRoom(t *testing.T) {
+func TestRouteCarriesEvidenceAndPrefersMemberWithRoom(t *testing.T) {
 	is := is.New(t)
 	list := members(6)
 	ranked := Rank("chat", names(6))
@@ -155,10 +155,10 @@
 	route.Refused(start, first.BackEnd, Refusal{Kind: failure.OverBound, Load: 10})
 	second, _ := route.Next(start)
 	is.Equal(second.BackEnd, ranked[5]) // the only one below the load met
-	is.Equal(second.LoadsMet, []LoadMet{{BackEnd: ranked[0], Load: 10}})
+	is.Equal(second.ReportedLoads, []ReportedLoad{{BackEnd: ranked[0], Load: 10}})
 }
 
-func TestLeastLoadedMemberIsAskedAgainWithAllTheEvidence(t *testing.T) {
+func TestLeastLoadedMemberIsRetriedOnceWithAllEvidence(t *testing.T) {
 	is := is.New(t)
 	ranked := Rank("chat", names(2))
 	route := NewRoute(Request{ChatKey: "chat"}, members(2), PolicyTokenThenHash, nil)
@@ -169,14 +169,14 @@
 	again, ok := route.Next(start)
 	is.True(ok)
 	is.Equal(again.BackEnd, ranked[0])
-	is.Equal(again.LoadsMet, []LoadMet{{BackEnd: ranked[1], Load: 9}})
+	is.Equal(again.ReportedLoads, []ReportedLoad{{BackEnd: ranked[1], Load: 9}})
 	route.Refused(start, again.BackEnd, Refusal{Kind: failure.OverBound, Load: 4})
 	_, ok = route.Next(start)
 	is.True(!ok) // once only
 	is.Equal(route.Attempts(), 3)
 }
 
-func TestOwnedRequestGoesNowhereElse(t *testing.T) {
+func TestOwnedRequestIsSentOnlyToItsOwner(t *testing.T) {
 	is := is.New(t)
 	route := NewRoute(Request{Owner: "e02"}, members(5), PolicyTokenThenHash, nil)
 	attempt, ok := route.Next(start)
@@ -189,7 +189,7 @@
 	is.Equal(route.GiveUp().Kind, failure.LeaseLapsed)
 }
 
-func TestGiveUpTellsTheShortestWait(t *testing.T) {
+func TestGiveUpReturnsShortestRetryAfter(t *testing.T) {
 	is := is.New(t)
 	route := NewRoute(Request{ChatKey: "chat"}, members(2), PolicyTokenThenHash, nil)
 	for _, wait := range []time.Duration{3 * time.Second, time.Second} {
--- a/internal/routing/token.go
+++ b/internal/routing/token.go
@@ -31,7 +31,7 @@
 	tokenMACSize = 16
 	// MaxTokenLength bounds the encoded token, in bytes.
 	MaxTokenLength = 512
-	tokenContext   = "harriernotch chat token v1\n"
+	tokenDomain    = "harriernotch chat token v1\n"
 )
 
 // TokenSealer makes and opens chat tokens with the cluster key.
@@ -80,7 +80,7 @@
 // apart.
 func (s *TokenSealer) mac(tenant string, body []byte) []byte {
 	hash := hmac.New(sha256.New, s.key)
-	hash.Write([]byte(tokenContext))
+	hash.Write([]byte(tokenDomain))
 	hash.Write([]byte{byte(len(tenant))})
 	hash.Write([]byte(tenant))
 	hash.Write(body)
