--- a/internal/admission/bound.go
+++ b/internal/admission/bound.go
@@ -6,47 +6,49 @@
 	"time"
 )
 
-// BoundPolicy is a pool's setting of the load bound.
+// BoundPolicy configures a pool's load bound.
 type BoundPolicy struct {
-	// Multiple is c: the load may be at most c times the pool's mean.
+	// Multiple is the c of the bound: a member's load may be at most c times the pool's
+	// mean load.
 	Multiple float64
-	// RoundDown keeps the load below the exact multiple where it can.
+	// RoundDown keeps the load below the exact multiple where possible.
 	RoundDown bool
-	// Window is the age to which an observed load counts in full.
+	// Window is the age up to which an observed load counts fully.
 	Window time.Duration
-	// Disabled admits everything; only baselines and checks of the checkers
-	// set it.
+	// Disabled admits every request. It is set only by baselines, and by tests that
+	// verify that the checkers detect a broken bound.
 	Disabled bool
 }
 
-// ObservedLoad is another member's load as last heard.
+// ObservedLoad is the last known load of another member of the pool.
 type ObservedLoad struct {
-	// Member is the back end.
+	// Member is the back end's ID.
 	Member string
-	// Load is the number of requests the member had accepted and not finished.
+	// Load is the number of requests that the member had accepted and not finished.
 	Load int
 	// At is the local time at which the load was measured.
 	At time.Time
 }
 
-// Limit is the bound at one moment.
+// Limit is the load bound at one moment.
 type Limit struct {
 	// Max is the highest load, the new request included, that may be accepted.
 	Max int
-	// Mean is the estimate of the pool's mean load it was reckoned from.
+	// Mean is the estimated mean load of the pool from which Max was derived.
 	Mean float64
 }
 
-// LimitFor returns the bound for a member that carries own requests while the
-// others carry what was observed. The request to be admitted counts towards the
-// mean, as in consistent hashing with bounded loads (Mirrokni, Thorup and
-// Zadimoghaddam, 2018), so an empty pool admits and a sole member always does.
+// LimitFor returns the bound for a member with a load of own requests, given the
+// observed loads of the others. The request to be admitted counts towards the mean,
+// as in consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
+// 2018), so a member of an empty pool admits it, and a sole member always does.
 //
-// evidence holds the loads that the request met where it was refused; they
-// replace what was observed of those members. They are milliseconds old, while
-// the observed loads may lag behind a surge; without them, a pool whose mean
-// rises fast would refuse work that it has room for. Their average alone would
-// not do as an estimate: members that refuse are the loaded ones.
+// evidence holds the loads that were reported by the members that refused this
+// request; they replace the observed loads of those members. They are milliseconds
+// old, while the observed loads may lag behind a surge: without the evidence, a
+// pool whose mean rises quickly would refuse work that it has room for. The mean of
+// the evidence alone would be a biased estimate, because members that refuse are the
+// loaded ones.
 func (p BoundPolicy) LimitFor(now time.Time, own int, others, evidence []ObservedLoad, service time.Duration) Limit {
 	if p.Disabled {
 		return Limit{Max: math.MaxInt32}
@@ -59,12 +61,12 @@
 	return Limit{Max: p.round(mean), Mean: mean}
 }
 
-// fullEvidence is the number of refusals after which the estimate is no longer
-// lowered. A margin that stayed could make a pool with equal loads refuse
-// everywhere, and so stay as it is.
+// sufficientEvidence is the number of refusals after which the estimate is no longer
+// lowered by the margin. A permanent margin could make every member of an evenly
+// loaded pool refuse, and the pool would then stay in that state.
 const sufficientEvidence = 4
 
-// replace returns others with the loads of the evidence in their place.
+// withEvidence returns others with newer loads from the evidence substituted.
 func withEvidence(others, evidence []ObservedLoad) []ObservedLoad {
 	if len(evidence) == 0 {
 		return others
@@ -82,10 +84,11 @@
 	return replaced
 }
 
-// The number of standard deviations by which the estimate of the mean is lowered
-// for what may have changed since the loads were measured. Higher breaks the
-// bound more rarely and refuses more. Rounding down lowers the bound by half a
-// request on average already. docs/DESIGN.md has the measurements.
+// The number of standard deviations by which the estimated mean is lowered to allow
+// for changes since the loads were measured. Higher values violate the bound less
+// often and refuse more requests. Rounding down needs fewer, because it already
+// lowers the bound by half a request on average. The measurements are in
+// docs/DESIGN.md.
 const (
 	confidenceRoundUp   = 2.5
 	confidenceRoundDown = 0.5
@@ -98,13 +101,14 @@
 	return confidenceRoundUp
 }
 
-// margin is how far the true mean may be below the estimate. Requests that come
-// at random and take about service make a member's load change, over an age, with
-// the variance 2·load·(1-exp(-age/service)): in proportion to the age while that
-// is short, and never more than two independent loads differ. The changes of all
-// members add up by their variances. Loads are whole numbers, so the sum is
-// rounded up unless even the end of a single request is less likely than what the
-// confidence leaves: in a small pool a fraction of a request would cover none.
+// margin returns how far the true mean may be below the estimate. If requests arrive
+// at random and take about service each, a member's load changes over an age with
+// the variance 2·load·(1-exp(-age/service)): proportional to the age while that is
+// short, and bounded by the difference of two independent loads. The variances of
+// all members add up. Loads are whole numbers, so the sum is rounded up, unless even
+// the end of a single request is less likely than the probability that the
+// confidence leaves: in a small pool, a fraction of a request would cover no change
+// at all.
 func (p BoundPolicy) margin(now time.Time, others []ObservedLoad, service time.Duration) float64 {
 	variance := 0.0
 	for _, other := range others {
@@ -120,14 +124,14 @@
 	return margin / float64(len(others)+1)
 }
 
-// upperTail is the probability that a normal variable lies more than so many
-// standard deviations above its mean.
+// upperTail returns the probability that a normal variable exceeds its mean by more
+// than the given number of standard deviations.
 func upperTail(deviations float64) float64 { return math.Erfc(deviations/math.Sqrt2) / 2 }
 
-// round turns the mean into the highest whole load. At least one member always
-// has a load, the new request included, of at most the rounded-up mean, so that
-// much is allowed under either rounding; without it, a pool with a small mean
-// would refuse work everywhere.
+// round turns the mean into the highest admissible whole load. There is always a
+// member whose load, including the new request, is at most the rounded-up mean.
+// Both rounding modes allow that much; otherwise every member of a pool with a small
+// mean would refuse work.
 func (p BoundPolicy) round(mean float64) int {
 	exact := p.Multiple * mean
 	if !p.RoundDown {
@@ -136,11 +140,11 @@
 	return max(1, int(math.Floor(exact)), int(math.Ceil(mean)))
 }
 
-// mean estimates the pool's mean load with the new request counted. A load that
-// was measured before the window may only lower the estimate: the pool may have
-// emptied since, and a mean that is too high is what breaks the bound. The own
-// load has no part in that comparison, since the question is put by members with
-// a high one.
+// mean estimates the pool's mean load, including the new request. A load that was
+// measured before the window may only lower the estimate: the pool may have emptied
+// since, and a mean that is too high is what violates the bound. The member's own
+// load is left out of that comparison, because it is members with a high load that
+// ask.
 func (p BoundPolicy) mean(now time.Time, own int, others []ObservedLoad) float64 {
 	fresh, freshTotal := 0, 0
 	for _, other := range others {
--- a/internal/admission/bound_test.go
+++ b/internal/admission/bound_test.go
@@ -21,20 +21,20 @@
 		evidence []ObservedLoad
 		want     int
 	}{
-		"alone, idle":                         {up, 0, nil, nil, 2},
-		"alone, busy":                         {up, 9, nil, nil, 13},
-		"alone, rounded down":                 {down, 9, nil, nil, 12},
-		"empty pool":                          {up, 0, observed(0, 0, 0), nil, 1},
-		"empty pool, rounded down":            {down, 0, observed(0, 0, 0), nil, 1},
-		"mean 8":                              {up, 7, observed(8, 8, 8), nil, 10},
-		"mean 8.25 up":                        {up, 8, observed(8, 8, 8), nil, 11},
-		"mean 8.25 down":                      {down, 8, observed(8, 8, 8), nil, 10},
-		"down never below the rounded mean":   {down, 1, observed(1, 1, 2), nil, 2},
-		"an old high load can't raise":        {up, 1, append(observed(1), stale...), nil, 2},
-		"nor can it beside a high own load":   {up, 11, append(observed(3), stale...), nil, 8},
-		"nothing fresh: the old is believed":  {up, 1, stale, nil, 33},
-		"evidence replaces what was observed": {up, 1, observed(1, 1), newerObserved(6, 6), 6},
-		"evidence of one member":              {up, 1, observed(1, 1), newerObserved(6), 4},
+		"alone, idle":                       {up, 0, nil, nil, 2},
+		"alone, busy":                       {up, 9, nil, nil, 13},
+		"alone, rounded down":               {down, 9, nil, nil, 12},
+		"empty pool":                        {up, 0, observed(0, 0, 0), nil, 1},
+		"empty pool, rounded down":          {down, 0, observed(0, 0, 0), nil, 1},
+		"mean 8":                            {up, 7, observed(8, 8, 8), nil, 10},
+		"mean 8.25 up":                      {up, 8, observed(8, 8, 8), nil, 11},
+		"mean 8.25 down":                    {down, 8, observed(8, 8, 8), nil, 10},
+		"down never below the rounded mean": {down, 1, observed(1, 1, 2), nil, 2},
+		"stale high load doesn't raise the bound": {up, 1, append(observed(1), stale...), nil, 2},
+		"stale high load and high own load":       {up, 11, append(observed(3), stale...), nil, 8},
+		"only a stale load":                       {up, 1, stale, nil, 33},
+		"evidence replaces observed loads":        {up, 1, observed(1, 1), newerObserved(6, 6), 6},
+		"evidence from one member":                {up, 1, observed(1, 1), newerObserved(6), 4},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestSomeMemberAlwaysHasRoom: whatever the loads, a member with the least load
-// that knows them all admits, so that a pool never refuses everywhere.
+// Whatever the loads are, the least loaded member admits a request if it knows all
+// loads, so a pool never refuses on all members.
 func TestLeastLoadedMemberAlwaysAdmits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		loads := rapid.SliceOfN(rapid.IntRange(0, 60), 1, 30).Draw(t, "loads")
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -9,59 +9,61 @@
 // RequestID identifies a request at one agent.
 type RequestID uint64
 
-// Request is what the gate needs to know of a request.
+// Request holds what the gate needs to know about a request.
 type Request struct {
-	// ID is chosen by the owner and unique in the life of the gate.
+	// ID is chosen by the gate's owner and unique for the lifetime of the gate.
 	ID RequestID
 	// Tenant is the caller's tenant.
 	Tenant string
-	// Priority is the request's class.
+	// Priority is the request's priority class.
 	Priority Priority
-	// Deadline is when the caller stops waiting.
+	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
-	// Affine says that the request gains by being served here and may wait a
-	// little for a place under the bound.
+	// Affine means that this back end is the best one for the request, for example
+	// because it caches the chat's context, so the request may wait a little for room
+	// under the bound.
 	Affine bool
-	// Last says that its router makes no further attempt, so it may wait a moment
-	// rather than be refused.
+	// LastAttempt means that the router will try no other back end, so the request may
+	// wait for room under the bound instead of being refused.
 	LastAttempt bool
-	// Evidence holds the loads met where the request was refused before.
+	// Evidence holds the loads reported by the back ends that refused the request.
 	Evidence []ObservedLoad
-	// Key is set for an unrepeatable request with a key that this agent owns.
+	// Key is set for a non-repeatable request whose idempotency key this agent owns.
 	Key *Key
 }
 
-// Event is something that happened; see the types below.
+// Event is an input of the gate; see the types below.
 type Event interface{ isEvent() }
 
-// Arrive is a new request.
+// Arrive adds a new request.
 type Arrive struct{ Request Request }
 
 // Finished ends a request that was started.
 type Finished struct {
 	ID RequestID
-	// NotRun says that the back end certainly did not run it.
+	// NotRun means that the back end certainly did not run the request.
 	NotRun bool
-	// Outcome is kept for a keyed request.
+	// Outcome is stored for a request with a key.
 	Outcome Outcome
 }
 
-// Cancelled says that the caller left before the request was started.
+// Cancelled means that the caller left before the request was started.
 type Cancelled struct{ ID RequestID }
 
-// PoolObserved replaces the loads of the pool's other live members.
+// PoolObserved replaces the observed loads of the pool's other live members.
 type PoolObserved struct{ Others []ObservedLoad }
 
-// Configured replaces the gate's settings.
+// Configured replaces the gate's configuration.
 type Configured struct{ Config Config }
 
-// Leave closes the gate for new work for good.
+// Leave closes the gate permanently for new requests.
 type Leave struct{}
 
-// Rest closes the gate for a while: the back end has asked to be left alone for so long.
+// BackOff closes the gate for a time: the back end has asked for no requests for
+// that long.
 type BackOff struct{ For time.Duration }
 
-// Tick lets time-based decisions take place.
+// Tick triggers decisions that depend on the passing of time.
 type Tick struct{}
 
 func (Arrive) isEvent()       {}
@@ -73,30 +75,30 @@
 func (BackOff) isEvent()      {}
 func (Tick) isEvent()         {}
 
-// Action is something the owner must do; see the types below.
+// Action is something that the gate's owner must do; see the types below.
 type Action interface{ isAction() }
 
-// Start hands the request to the back end.
+// Start sends the request to the back end.
 type Start struct {
 	ID RequestID
-	// Load is the gate's load with this request.
+	// Load is the gate's load, including this request.
 	Load int
-	// Limit is the bound under which it was accepted.
+	// Limit is the bound under which the request was accepted.
 	Limit int
 }
 
-// Refuse answers that the request was not run here.
+// Refuse replies that the request was not run here.
 type Refuse struct {
 	ID RequestID
-	// Kind says why.
+	// Kind is the reason.
 	Kind failure.Kind
-	// RetryAfter is when to come back; 0 for the kind's default.
+	// RetryAfter is the time after which to retry; 0 for the default of the kind.
 	RetryAfter time.Duration
 	// Load is the gate's load.
 	Load int
 }
 
-// Replay answers with the outcome of the first run under the request's key.
+// Replay replies with the stored outcome of the first run under the request's key.
 type Replay struct {
 	ID      RequestID
 	Outcome Outcome
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,9 +1,9 @@
-// Package admission is the gate before one back end: the load bound, the fair
-// queue, deadlines and the memory of unrepeatable requests.
+// Package admission controls which requests one back end gets: it enforces the load
+// bound and the deadlines, queues fairly, and runs each idempotency key at most once.
 //
-// The Gate is a state machine without I/O. Its owner passes typed events and
-// the time to Step and carries out the actions that come back, in order. It is
-// not safe for concurrent use.
+// Gate is a state machine without I/O. Its owner passes typed events and the
+// current time to Step and performs the returned actions in order. A Gate is not
+// safe for concurrent use.
 package admission
 
 import (
@@ -13,28 +13,30 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// Config sets up a gate.
+// Config configures a Gate.
 type Config struct {
 	// Bound is the pool's load bound.
 	Bound BoundPolicy
-	// AffinityWait is how long an affine request may wait for the bound.
+	// AffinityWait is how long an affine request may wait for room under the bound.
 	AffinityWait time.Duration
-	// OwnerWait is how long a keyed request may wait for the bound: no other back end
-	// may run it. LastWait is the same for one whose router makes no further attempt. A
-	// bound rises with the news of a risen mean, over one window of it after the other;
-	// a caller that is refused meanwhile comes back to the same wait. Higher values refuse
-	// less while a pool fills, and hold longer what is refused in the end.
+	// OwnerWait is how long a request with a key may wait for room under the bound,
+	// because no other back end may run it. LastAttemptWait is the same for a request
+	// whose router will try no other back end. When the pool's mean load rises, the
+	// bound rises only as updates of the mean arrive, over several windows; a caller
+	// that is refused meanwhile comes back to the same wait. Higher values refuse
+	// fewer requests while a pool fills up, and hold requests longer that are refused
+	// in the end.
 	OwnerWait       time.Duration
 	LastAttemptWait time.Duration
-	// MaxRunning is how many requests run at a time.
+	// MaxRunning is the number of requests that may run at a time.
 	MaxRunning int
-	// MaxQueued is how many accepted requests may wait to run.
+	// MaxQueued is the number of accepted requests that may wait to run.
 	MaxQueued int
-	// Weights are the tenants' shares of the queue; 1 where absent.
+	// Weights are the tenants' weights in the fair queue; 1 if absent.
 	Weights map[string]float64
 }
 
-// accepted is a request under the bound: running or queued.
+// acceptedRequest is a request admitted under the bound: running or queued.
 type acceptedRequest struct {
 	request   Request
 	limit     int
@@ -42,13 +44,13 @@
 	running   bool
 }
 
-// assumedService stands for the service time until a request has finished.
+// defaultServiceTime is assumed until the first request has finished.
 const defaultServiceTime = time.Second
 
-// serviceSmoothing is the weight of a new service time in the running average.
+// serviceTimeSmoothing is the weight of a new sample in the moving average.
 const serviceTimeSmoothing = 0.1
 
-// Gate admits requests to one back end.
+// Gate controls the admission of requests to one back end.
 type Gate struct {
 	config   Config
 	keys     *keyTable
@@ -58,9 +60,9 @@
 	accepted map[RequestID]*acceptedRequest
 	running  int
 	leaving  bool
-	// restUntil is until when the back end wants nothing.
+	// backOffUntil is the time until which the back end wants no requests.
 	backOffUntil time.Time
-	// service is the average time a request runs; 0 until one finished.
+	// meanServiceTime is the average running time; 0 until a request has finished.
 	meanServiceTime time.Duration
 }
 
@@ -76,25 +78,25 @@
 	g.queue.weights = config.Weights
 }
 
-// Load returns the number of accepted requests that have not finished: those
-// that run and those that are queued. It is the load that the bound speaks of.
+// Load returns the number of accepted requests that have not finished, running or
+// queued. This is the load that the bound limits.
 func (g *Gate) Load() int { return len(g.accepted) }
 
 // Running returns the number of requests at the back end.
 func (g *Gate) Running() int { return g.running }
 
-// Waiting returns the number of requests that wait for the bound.
+// Waiting returns the number of requests that wait for room under the bound.
 func (g *Gate) Waiting() int { return len(g.waiters) }
 
-// IsLeaving tells whether the gate is closed for new work.
+// IsLeaving reports whether the gate is permanently closed for new requests.
 func (g *Gate) IsLeaving() bool { return g.leaving }
 
-// Limit returns the bound at the moment, without evidence.
+// Limit returns the current bound, without evidence from refusals.
 func (g *Gate) Limit(now time.Time) Limit {
 	return g.config.Bound.LimitFor(now, g.Load(), g.others, nil, g.serviceTime())
 }
 
-// Step takes one event and returns the actions that it causes.
+// Step processes one event and returns the resulting actions.
 func (g *Gate) Step(now time.Time, event Event) []Action {
 	switch e := event.(type) {
 	case Arrive:
@@ -144,8 +146,8 @@
 	return []Action{g.refuseReleasing(request, failure.OverBound, g.expectedFinish())}
 }
 
-// checkKey answers keyed requests that must not run; settled is false when the
-// request may go on, and its key is then remembered.
+// checkKey replies to requests with a key that must not run. If settled is false,
+// the request may proceed, and its key has been recorded.
 func (g *Gate) checkKey(now time.Time, request Request) (action Action, settled bool) {
 	verdict, outcome := g.keys.begin(now, *request.Key)
 	switch verdict {
@@ -168,8 +170,8 @@
 	return g.config.Bound.LimitFor(now, g.Load(), g.others, request.Evidence, g.serviceTime())
 }
 
-// serviceTime returns how long a request takes here, and so at the pool's other
-// members.
+// serviceTime returns how long a request takes at this back end. The pool's other
+// members are assumed to take as long.
 func (g *Gate) serviceTime() time.Duration {
 	if g.meanServiceTime <= 0 {
 		return defaultServiceTime
@@ -177,7 +179,7 @@
 	return g.meanServiceTime
 }
 
-// accept takes the request under the bound; it runs at once or is queued.
+// accept admits the request under the bound: it is started or queued.
 func (g *Gate) accept(now time.Time, request Request, limit int) []Action {
 	if g.running < g.config.MaxRunning {
 		g.accepted[request.ID] = &acceptedRequest{request: request, limit: limit}
@@ -238,8 +240,8 @@
 	g.meanServiceTime += time.Duration(serviceTimeSmoothing * float64(took-g.meanServiceTime))
 }
 
-// startQueued starts queued requests while there is capacity. One whose
-// deadline has passed is refused instead of started.
+// startQueued starts queued requests while there is capacity. A request whose
+// deadline has passed is refused instead.
 func (g *Gate) startQueued(now time.Time) []Action {
 	var actions []Action
 	for g.running < g.config.MaxRunning {
@@ -257,8 +259,8 @@
 	return actions
 }
 
-// cancelled drops a request that has not started. One that runs is ended by
-// Finished, once the back end has let go of it.
+// cancelled drops a request that has not started. A running one is ended by
+// Finished, once the back end has released it.
 func (g *Gate) cancelled(now time.Time, id RequestID) []Action {
 	for i, waiting := range g.waiters {
 		if waiting.request.ID == id {
@@ -275,8 +277,9 @@
 	return nil
 }
 
-// leave closes the gate. Accepted work is finished; what only waits for the
-// bound is refused, since it can still go elsewhere.
+// leave closes the gate permanently. Accepted requests are finished. Requests that
+// only wait for room under the bound are refused, since another back end can still
+// run them.
 func (g *Gate) leave() []Action {
 	if g.leaving {
 		return nil
@@ -285,8 +288,9 @@
 	return g.refuseWaiters(failure.Leaving, 0)
 }
 
-// rest refuses what hasn't started: it would reach the back end within its rest, and can go
-// elsewhere. What runs is finished.
+// backOff refuses all requests that have not started, including queued ones: they
+// would reach the back end within the time it asked for, and another back end can
+// still run them. Running requests are finished.
 func (g *Gate) backOff(now time.Time, wait time.Duration) []Action {
 	if until := now.Add(wait); until.After(g.backOffUntil) {
 		g.backOffUntil = until
@@ -304,7 +308,7 @@
 	return Refuse{ID: request.ID, Kind: kind, RetryAfter: wait, Load: g.Load()}
 }
 
-// refuseReleasing refuses a request that was certainly not run and forgets its
+// refuseReleasing refuses a request that was certainly not run and releases its
 // key, so that the caller's next attempt may run.
 func (g *Gate) refuseReleasing(request Request, kind failure.Kind, wait time.Duration) Refuse {
 	g.releaseKey(request)
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -37,7 +37,7 @@
 	return list
 }
 
-// met returns evidence that is newer than what observed returns.
+// newerObserved returns loads that are newer than those from observed.
 func newerObserved(loads ...int) []ObservedLoad {
 	list := observed(loads...)
 	for i := range list {
@@ -67,9 +67,10 @@
 	return nil
 }
 
-// TestGateKeepsItsInvariants drives a gate with random events and checks after
-// each that every request gets exactly one word, that the load stays under the
-// bound at every admission, and that running and queued stay under their caps.
+// The test drives a gate with random events. After each event it checks that every
+// request gets exactly one reply, that the load stays under the bound at every
+// admission, and that the numbers of running and queued requests stay within their
+// limits.
 func TestGateInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := testConfig()
@@ -86,7 +87,7 @@
 					id = a.ID
 					running = append(running, id)
 					if a.Limit < 1 {
-						t.Fatal("started under a bound below 1")
+						t.Fatal("request started under a bound below 1")
 					}
 				case Refuse:
 					id = a.ID
@@ -94,7 +95,7 @@
 					id = a.ID
 				}
 				if answered[id] {
-					t.Fatalf("request %d got two answers", id)
+					t.Fatalf("request %d got two replies", id)
 				}
 				answered[id] = true
 			}
@@ -118,7 +119,7 @@
 				}
 				check(arrive(g, now, r))
 				if g.Load() > before && now.Before(backOffUntil) {
-					t.Fatalf("request %d was accepted within a rest", last)
+					t.Fatalf("request %d was accepted during a back-off", last)
 				}
 				if g.Load() > before && g.Load() > limit.Max {
 					t.Fatalf("load %d over the bound %d", g.Load(), limit.Max)
@@ -146,7 +147,7 @@
 				}
 				check(g.Step(now, BackOff{For: backOff}))
 				if g.Load() > g.Running() || g.Waiting() > 0 {
-					t.Fatalf("%d requests wait within a rest", g.Load()-g.Running()+g.Waiting())
+					t.Fatalf("%d requests wait during a back-off", g.Load()-g.Running()+g.Waiting())
 				}
 			}
 		}
@@ -161,16 +162,16 @@
 	is.Equal(kindOf(arrive(g, start, request(2))), failure.OverBound)
 	affine := request(3)
 	affine.Affine = true
-	is.Equal(len(arrive(g, start, affine)), 0) // it waits
+	is.Equal(len(arrive(g, start, affine)), 0) // waits for room
 	is.Equal(kindOf(g.Step(start.Add(100*time.Millisecond), Finished{ID: 1})), "start")
 	fourth := request(4)
 	fourth.Affine = true
 	is.Equal(len(arrive(g, start.Add(100*time.Millisecond), fourth)), 0)
-	is.Equal(kindOf(g.Step(start.Add(time.Second), Tick{})), failure.OverBound) // its wait is over
+	is.Equal(kindOf(g.Step(start.Add(time.Second), Tick{})), failure.OverBound) // AffinityWait has passed
 }
 
-// TestLastAttemptWaitsForTheBound: what no other back end will be asked for waits, also in
-// a pool that gives affine ones no wait.
+// A request that no other back end will get waits for room under the bound, even in
+// a pool without a wait for affine requests.
 func TestLastAttemptWaitsForTheBound(t *testing.T) {
 	is := is.New(t)
 	config := testConfig()
@@ -195,11 +196,11 @@
 	arrive(g, start.Add(2*time.Second), request(2))
 	refused, ok := arrive(g, start.Add(2*time.Second), request(3))[0].(Refuse)
 	is.True(ok)
-	is.Equal(refused.RetryAfter, 2*time.Second) // the service time seen so far
+	is.Equal(refused.RetryAfter, 2*time.Second) // the service time measured so far
 	is.Equal(refused.Load, 1)
 }
 
-// full returns a gate that runs and queues all it may.
+// fullGate returns a gate at its limit of running requests, with queue queued.
 func fullGate(t *testing.T, queue ...Request) *Gate {
 	t.Helper()
 	config := testConfig()
@@ -251,7 +252,7 @@
 	is.Equal(kindOf(arrive(g, start, fromTenant(5, "large", Interactive))), failure.QueueFull)
 	refused, ok := arrive(g, start, fromTenant(6, "small", Interactive))[0].(Refuse)
 	is.True(ok)
-	is.Equal(refused.ID, RequestID(3)) // the last of the tenant with the most
+	is.Equal(refused.ID, RequestID(3)) // the last request of the tenant with the largest share
 }
 
 func TestBatchIsNotStarved(t *testing.T) {
@@ -273,14 +274,14 @@
 			}
 		}
 		starts++
-		is.True(starts <= batchInterval) // batch gets its turn
+		is.True(starts <= batchInterval) // one in batchInterval starts is a batch request
 	}
 }
 
 func TestUnmeetableDeadlineIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	g := fullGate(t)
-	g.Step(start.Add(10*time.Second), Finished{ID: 1000}) // a service time of 10s
+	g.Step(start.Add(10*time.Second), Finished{ID: 1000}) // the mean service time is now 10 s
 	arrive(g, start.Add(10*time.Second), request(1))
 	arrive(g, start.Add(10*time.Second), request(2))
 	arrive(g, start.Add(10*time.Second), request(3))
@@ -297,10 +298,11 @@
 	g := fullGate(t, request(1))
 	g.Step(start, Leave{})
 	is.Equal(kindOf(arrive(g, start, request(2))), failure.Leaving)
-	is.Equal(kindOf(g.Step(start, Finished{ID: 1000})), "start") // the queued one was accepted
+	is.Equal(kindOf(g.Step(start, Finished{ID: 1000})), "start") // the queued request had been accepted
 }
 
-// What was accepted and hadn't started reached the back end within the rest that it had asked for.
+// Regression test: accepted requests that had not started reached the back end within
+// the time for which it had asked for none.
 func TestBackOffRefusesRequestsNotYetStarted(t *testing.T) {
 	is := is.New(t)
 	g := fullGate(t, request(1))
@@ -315,7 +317,8 @@
 	is.Equal(kindOf(arrive(g, start.Add(3*time.Second), request(3))), "start")
 }
 
-// A repeat of a call that has run gets its answer from memory, whatever the back end wants.
+// A repeated call that has already run is answered from the key table, even while the
+// back end wants no requests.
 func TestStoredReplyIsReplayedDuringBackOff(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(testConfig(), testKeyTable())
@@ -325,5 +328,5 @@
 	g.Step(now, BackOff{For: time.Second})
 	is.Equal(kindOf(arrive(g, now, keyed(2, "k", now))), "replay")
 	is.Equal(kindOf(arrive(g, now, keyed(3, "other", now))), failure.QueueFull)
-	is.Equal(kindOf(arrive(g, now.Add(time.Second), keyed(4, "other", now))), "start") // not run, so it may
+	is.Equal(kindOf(arrive(g, now.Add(time.Second), keyed(4, "other", now))), "start") // it was refused before without being run
 }
--- a/internal/admission/once.go
+++ b/internal/admission/keys.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Key is a caller's idempotency key on an unrepeatable request.
+// Key is a caller's idempotency key on a non-repeatable request.
 type Key struct {
-	// Value identifies the key; it includes the tenant.
+	// Value identifies the key and includes the tenant.
 	Value string
 	// Issued is the time of issue that the key itself carries.
 	Issued time.Time
-	// Digest is a hash of the request, to notice a key used for another one.
+	// Digest is a hash of the request. It detects a key that is reused for another one.
 	Digest uint64
 }
 
-// Outcome is how the first run under a key ended.
+// Outcome is the result of the first run under a key.
 type Outcome struct {
-	// Known is false when it can't be told whether the run took place.
+	// Known is false if it is unknown whether the request ran.
 	Known bool
-	// Reply is the shell's handle on the stored answer, opaque to the core;
-	// nil when the answer was too large to keep.
+	// Reply is the owner's handle on the stored reply, opaque to the gate. It is nil if
+	// the reply was too large to store.
 	Reply any
-	// Size is the memory that Reply takes, in bytes.
+	// Size is the memory used by Reply, in bytes.
 	Size int
 }
 
-// verdict says what to do with a keyed request.
+// verdict says how to handle a request with a key.
 type verdict uint8
 
 const (
@@ -38,38 +38,39 @@
 	verdictFuture
 )
 
-// OnceConfig sets up the memory of keys.
+// KeyTableConfig configures the table of idempotency keys.
 type KeyTableConfig struct {
-	// StartedAt is when this agent's memory began.
+	// StartedAt is when this agent started with an empty table.
 	StartedAt time.Time
-	// ClockError bounds the difference between two clocks.
+	// ClockError is the largest difference between two machines' clocks.
 	ClockError time.Duration
-	// Memory is how long an outcome is remembered.
+	// Retention is how long an outcome is kept.
 	Retention time.Duration
-	// Capacity is the largest number of remembered keys.
+	// Capacity is the maximum number of keys in the table.
 	Capacity int
-	// ReplyBytes bounds the memory of all kept answers. The oldest are dropped
-	// first; that their keys ran is remembered all the same.
+	// MaxReplyBytes bounds the memory of all stored replies. The oldest replies are
+	// dropped first; the table still records that their keys ran.
 	MaxReplyBytes int
-	// Disabled forgets everything; only checks of the checkers set it.
+	// Disabled stores nothing. It is set only by tests that verify that the checkers
+	// detect repeated runs.
 	Disabled bool
 }
 
-// onceTable lets every key run at most once on this agent.
+// keyTable makes every key run at most once on this agent.
 //
-// It has no disk, so it can't know what ran before it started. It relies on the
-// time of issue instead: a key is taken only if it was issued after the start,
-// by more than the clocks can differ. A key that an earlier incarnation took at
-// a moment A was issued no later than A plus the clock error (later ones are
-// refused as dated in the future), and A is before the start; so with a second
-// clock error for a machine whose clock changed in between, no key can be taken
-// by both.
+// The table is not persistent, so it can't know what ran before the agent started.
+// Instead it relies on the time of issue: a key is accepted only if it was issued
+// after the start by more than the clocks can differ. A key that an earlier
+// incarnation accepted at a time A was issued no later than A plus the clock error,
+// because later keys are refused as dated in the future, and A is before the start.
+// Adding a second clock error, for a machine whose clock was changed in between, no
+// key can be accepted by both incarnations.
 type keyTable struct {
 	config        KeyTableConfig
 	entries       map[string]*keyEntry
 	order         *list.List
 	forgottenUpTo time.Time
-	// replyBytes is the memory of the kept answers.
+	// replyBytes is the memory of the stored replies.
 	replyBytes int
 }
 
@@ -89,7 +90,7 @@
 	}
 }
 
-// begin decides about a keyed request and, on verdictRun, remembers the key.
+// begin returns the verdict on a request with a key. On verdictRun it records the key.
 func (t *keyTable) begin(now time.Time, key Key) (verdict, Outcome) {
 	if t.config.Disabled {
 		return verdictRun, Outcome{}
@@ -123,7 +124,7 @@
 	}
 }
 
-// finish records how the run under the key ended.
+// finish records the outcome of the run under the key.
 func (t *keyTable) finish(key Key, outcome Outcome) {
 	if entry, known := t.entries[key.Value]; known {
 		entry.done = true
@@ -133,7 +134,7 @@
 	}
 }
 
-// dropReplies drops the oldest answers until the rest fit.
+// dropReplies drops the oldest replies until the rest fit.
 func (t *keyTable) dropReplies() {
 	for element := t.order.Front(); element != nil && t.replyBytes > t.config.MaxReplyBytes; element = element.Next() {
 		if entry, ok := element.Value.(*keyEntry); ok {
@@ -148,7 +149,7 @@
 	e.outcome.Size = 0
 }
 
-// release forgets a key whose request was certainly not run.
+// release removes the key of a request that was certainly not run.
 func (t *keyTable) release(key Key) {
 	if entry, known := t.entries[key.Value]; known {
 		t.order.Remove(entry.element)
@@ -156,8 +157,9 @@
 	}
 }
 
-// expire forgets old outcomes, and remembers up to which time of issue keys may
-// have been forgotten. A run in progress is never forgotten.
+// expire removes keys that are older than the retention or exceed the capacity.
+// forgottenUpTo then covers every removed key: keys issued up to that time are no
+// longer accepted. The key of a running request is never removed.
 func (t *keyTable) expire(now time.Time) {
 	for element := t.order.Front(); element != nil; {
 		entry, ok := element.Value.(*keyEntry)
--- a/internal/admission/once_test.go
+++ b/internal/admission/keys_test.go
@@ -41,7 +41,7 @@
 	}
 	first, ok := arrive(g, now, keyed(11, "1", now))[0].(Replay)
 	is.True(ok)
-	is.Equal(first.Outcome.Reply, nil) // 120 bytes were too many
+	is.Equal(first.Outcome.Reply, nil) // three replies of 40 bytes exceed the limit of 100
 	last, ok := arrive(g, now, keyed(13, "3", now))[0].(Replay)
 	is.True(ok)
 	is.Equal(last.Outcome.Reply, "answer")
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -4,12 +4,12 @@
 	"slices"
 )
 
-// Priority is a request's class. A lower value goes first.
+// Priority is a request's priority class. Lower values go first.
 type Priority uint8
 
 // The priorities.
 const (
-	// Interactive is for callers who wait for the answer.
+	// Interactive is for callers that wait for the answer.
 	Interactive Priority = iota
 	// Batch is for work that can wait.
 	Batch
@@ -17,20 +17,20 @@
 	priorityCount
 )
 
-// batchTurn is the share of starts, one in so many, that batch work gets while
-// interactive work waits too, so that it never starves.
+// batchInterval prevents batch work from starving: while interactive work waits too,
+// one in batchInterval starts is a batch request.
 const batchInterval = 8
 
-// queued is one waiting request with its place in the fair order.
+// queued is a waiting request with its position in the fair order.
 type queued struct {
 	request  Request
 	finish   float64
 	sequence uint64
 }
 
-// fairQueue orders accepted requests: interactive before batch, and within a
-// priority weighted-fair across tenants by start-time fair queueing (Goyal, Vin
-// and Cheng, 1996). A tenant's requests keep their order of arrival.
+// fairQueue orders accepted requests: interactive before batch, and within a class
+// weighted-fair across tenants by start-time fair queueing (Goyal, Vin and Cheng,
+// 1996). The requests of one tenant stay in order of arrival.
 type fairQueue struct {
 	classes     [priorityCount][]queued
 	virtualTime [priorityCount]float64
@@ -63,7 +63,7 @@
 	return total
 }
 
-// push puts the request in its fair place.
+// push inserts the request at its position in the fair order.
 func (q *fairQueue) push(request Request) {
 	class := request.Priority
 	start := max(q.virtualTime[class], q.lastFinish[class][request.Tenant])
@@ -88,7 +88,7 @@
 	return 1
 }
 
-// pop takes the request that starts next.
+// pop removes the request that starts next.
 func (q *fairQueue) pop() (Request, bool) {
 	class := q.nextClass()
 	if len(q.classes[class]) == 0 {
@@ -99,7 +99,7 @@
 	q.classes[class] = slices.Delete(q.classes[class], 0, 1)
 	q.virtualTime[class] = entry.finish
 	if len(q.classes[class]) == 0 {
-		// Nobody waits: old finish times have no meaning for the next backlog.
+		// The class is empty: old finish times don't apply to the next backlog.
 		clear(q.lastFinish[class])
 		q.virtualTime[class] = 0
 	}
@@ -116,7 +116,7 @@
 	return Interactive
 }
 
-// remove takes the request out wherever it stands.
+// remove removes the request from any position.
 func (q *fairQueue) remove(id RequestID) (Request, bool) {
 	for class := range q.classes {
 		for i, entry := range q.classes[class] {
@@ -129,10 +129,11 @@
 	return Request{}, false
 }
 
-// displace makes room for an arriving request in a full queue: it takes out the
-// last request of the tenant that holds most of the queue for its weight, in
-// the lowest class that isn't above the arriving one's. A tenant that surges
-// therefore displaces its own requests, never another's smaller share.
+// displace makes room for an arriving request in a full queue. It removes the last
+// request of the tenant with the largest share of the queue relative to its weight,
+// in the lowest class that isn't above the class of the arriving request. A tenant
+// that surges therefore displaces its own requests, and never those of a tenant with
+// a smaller share.
 func (q *fairQueue) displace(arriving Request) (Request, bool) {
 	for class := priorityCount; class > 0; class-- {
 		low := class - 1
@@ -146,9 +147,10 @@
 	return Request{}, false
 }
 
-// largestShare returns the last request of the tenant with the largest share of
-// the class, if that share exceeds what the arriving tenant's would become. In
-// a class below the arriving one's, any tenant's last request may go.
+// lastOfLargestShare returns the last request of the tenant with the largest share
+// of the class, if that share exceeds what the arriving tenant's share would become.
+// In a class below that of the arriving request, any tenant's last request may be
+// chosen.
 func (q *fairQueue) lastOfLargestShare(class Priority, arriving Request) (RequestID, bool) {
 	counts := map[string]int{}
 	for _, entry := range q.classes[class] {
@@ -160,8 +162,8 @@
 		largest = float64(counts[arriving.Tenant]+1) / q.weight(arriving.Tenant)
 	}
 	found := false
-	// Walking the entries in order, not the map, keeps the choice deterministic;
-	// the last entry of the tenant with the largest share wins.
+	// Iterating over the entries, not over the map, makes the choice deterministic. The
+	// last entry of the tenant with the largest share wins.
 	for _, entry := range q.classes[class] {
 		tenant := entry.request.Tenant
 		share := float64(counts[tenant]) / q.weight(tenant)
@@ -172,8 +174,8 @@
 	return victim, found
 }
 
-// each calls visit for every queued request in the order of their start within
-// their class.
+// each calls visit for every queued request, class by class, in the order in which
+// they would start.
 func (q *fairQueue) each(visit func(Request)) {
 	for _, class := range q.classes {
 		for _, entry := range class {
--- a/internal/admission/timing.go
+++ b/internal/admission/timing.go
@@ -6,7 +6,8 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// tick refuses, at once, what can no longer be served in time.
+// tick admits waiters, and refuses requests that have waited too long or can no
+// longer be started before their deadline.
 func (g *Gate) tick(now time.Time) []Action {
 	actions := g.admitWaiters(now)
 	var remaining []waiter
@@ -21,7 +22,7 @@
 	return append(actions, g.refuseUnmeetable(now)...)
 }
 
-// refuseHopeless refuses queued requests that, by their place in the queue,
+// refuseUnmeetable refuses queued requests that, by their position in the queue,
 // would start after their deadline.
 func (g *Gate) refuseUnmeetable(now time.Time) []Action {
 	var unmeetable []Request
@@ -42,7 +43,8 @@
 	return actions
 }
 
-// expectedWait estimates the time until a request with so many ahead starts.
+// expectedWait estimates the time until a request starts that has ahead requests
+// before it in the queue.
 func (g *Gate) expectedWait(ahead int) time.Duration {
 	if g.config.MaxRunning == 0 {
 		return g.meanServiceTime
@@ -50,7 +52,7 @@
 	return time.Duration(float64(g.meanServiceTime) * float64(ahead) / float64(g.config.MaxRunning))
 }
 
-// expectedRoom estimates the time until one of the held requests finishes.
+// expectedFinish estimates the time until one of the running requests finishes.
 func (g *Gate) expectedFinish() time.Duration {
 	if g.running == 0 {
 		return g.meanServiceTime
--- a/internal/admission/waiters.go
+++ b/internal/admission/waiters.go
@@ -7,13 +7,13 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// waiter is a request that waits for the bound; it isn't accepted yet.
+// waiter is a request that waits for room under the bound; it isn't accepted yet.
 type waiter struct {
 	request Request
 	until   time.Time
 }
 
-// maxWaiters bounds the requests that wait for the bound.
+// maxWaiters limits the number of waiters.
 const maxWaiters = 256
 
 func (g *Gate) boundWait(request Request) time.Duration {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// admitWaiters accepts waiting requests that have come under the bound.
+// admitWaiters accepts waiters that now fit under the bound.
 func (g *Gate) admitWaiters(now time.Time) []Action {
 	var actions []Action
 	var remaining []waiter
@@ -57,7 +57,7 @@
 	return actions
 }
 
-// refuseWaiters refuses what only waits for the bound: it can still go elsewhere.
+// refuseWaiters refuses all waiters; other back ends can still run them.
 func (g *Gate) refuseWaiters(kind failure.Kind, wait time.Duration) []Action {
 	var actions []Action
 	for _, waiting := range g.waiters {
--- a/internal/draining/draining.go
+++ b/internal/draining/draining.go
@@ -1,7 +1,7 @@
-// Package draining lets an HTTP server stop without losing requests that have come
-// but were not read yet. http.Server.Shutdown closes connections that rest, and the
-// listener with the connections that were not accepted; on a process that runs late,
-// requests may already wait in both.
+// Package draining shuts an HTTP server down without losing requests that have
+// arrived but have not been read. http.Server.Shutdown closes idle connections, and
+// closing the listener drops connections that were not yet accepted. In a process
+// that is short of CPU time, both may already hold requests.
 package draining
 
 import (
@@ -12,30 +12,29 @@
 	"time"
 )
 
-// Connections watches over the connections of one server. It is safe for concurrent
-// use.
+// Connections tracks the connections of one server. It is safe for concurrent use.
 type Connections struct {
 	mutex sync.Mutex
-	// resting are the connections between two requests; the value is true once bytes of
-	// the next one were read.
+	// idle holds the connections between two requests. The value is true once bytes of
+	// the next request were read.
 	idle map[net.Conn]bool
-	// spared are connections that were not closed since a request waits in them;
-	// none is closed when the last of them has ended.
+	// deferred holds connections that were kept open on Close because they hold a
+	// request. Shutdown sets drained, which is closed with the last of them.
 	deferred map[*trackedConn]bool
 	drained  chan struct{}
 }
 
-// New returns a watch over no connection.
+// New returns a tracker without connections.
 func New() *Connections {
 	return &Connections{idle: map[net.Conn]bool{}, deferred: map[*trackedConn]bool{}}
 }
 
-// Listener returns the listener whose connections are watched.
+// Listener returns a listener that tracks the connections it accepts.
 func (c *Connections) Listener(listener net.Listener) net.Listener {
 	return &trackedListener{Listener: listener, connections: c, closing: make(chan struct{})}
 }
 
-// ConnState is the server's hook of the same name.
+// ConnState is the hook for http.Server.ConnState.
 func (c *Connections) ConnState(connection net.Conn, state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -48,7 +47,8 @@
 }
 
 // Shutdown stops the server as http.Server.Shutdown does, and then waits for the
-// requests that were found waiting. Its error is the context's.
+// requests that were found on connections being closed. If ctx ends first, Shutdown
+// returns its error.
 func (c *Connections) Shutdown(ctx context.Context, server *http.Server) error {
 	if err := server.Shutdown(ctx); err != nil {
 		return err
@@ -69,7 +69,7 @@
 	}
 }
 
-// Close ends what Shutdown still waits for.
+// Close closes the connections that Shutdown still waits for.
 func (c *Connections) Close() {
 	c.mutex.Lock()
 	var deferred []*trackedConn
@@ -82,7 +82,7 @@
 	}
 }
 
-// began notes that bytes were read from a connection.
+// noteRead records that bytes were read from a connection.
 func (c *Connections) noteRead(connection *trackedConn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -91,10 +91,11 @@
 	}
 }
 
-// spare tells whether a connection that is being closed rests with a request
-// waiting in it, or with one that the server has begun to read: it counts the connection
-// as resting until it has read the whole header. It is spared once: after its answer, or when its reader fails, it
-// is closed.
+// deferClose reports whether a connection that is being closed must stay open: it
+// is idle for the server, but an unread request is in its socket, or the server has
+// begun to read one. (The server counts a connection as idle until it has read the
+// whole request header.) Closing is deferred only once per connection: it is closed
+// after the request's answer, or when reading the request fails.
 func (c *Connections) deferClose(connection *trackedConn) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -106,7 +107,7 @@
 	return true
 }
 
-// ended notes that a connection was closed.
+// noteClosed removes a closed connection.
 func (c *Connections) noteClosed(connection *trackedConn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -125,17 +126,17 @@
 	net.Listener
 	connections *Connections
 
-	// closing is closed when Close begins.
+	// closing is closed when Close is called.
 	closing   chan struct{}
 	closeOnce sync.Once
 	drainOnce sync.Once
-	// waiting are the connections that were not accepted before Close.
+	// backlog holds the connections that were not accepted before Close.
 	mutex   sync.Mutex
 	backlog []net.Conn
 }
 
-// Accept implements net.Listener. After Close it still returns the connections that
-// were waiting then.
+// Accept implements net.Listener. After Close it still returns the connections of
+// the backlog.
 func (l *trackedListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -163,7 +164,7 @@
 	return next, nil
 }
 
-// Close implements net.Listener. It returns once no connection waits any more.
+// Close implements net.Listener. It returns once the backlog has been accepted.
 func (l *trackedListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closing) })
 	l.drainOnce.Do(l.drainBacklogAndClose)
@@ -171,14 +172,14 @@
 }
 
 const (
-	// quiet is how long a try waits for a further connection.
+	// acceptTimeout is how long one attempt waits for a further connection.
 	acceptTimeout = 10 * time.Millisecond
-	// quietTries is the number of tries in a row that must find none. The first may
-	// have waited for an Accept that was under way until its own time was over.
+	// maxEmptyAccepts is the number of consecutive attempts that must find no
+	// connection. The first one may have spent its time waiting for a concurrent Accept.
 	maxEmptyAccepts = 2
 )
 
-// takeAllAndClose accepts the connections that wait and closes the listener.
+// drainBacklogAndClose accepts all pending connections and closes the listener.
 func (l *trackedListener) drainBacklogAndClose() {
 	deadliner, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
 	for emptyAccepts := 0; ok && emptyAccepts < maxEmptyAccepts; {
@@ -195,7 +196,7 @@
 		l.backlog = append(l.backlog, accepted)
 		l.mutex.Unlock()
 	}
-	// It may have been closed already.
+	// The listener may already be closed.
 	_ = l.Listener.Close()
 }
 
@@ -213,8 +214,8 @@
 	return count, err
 }
 
-// Close implements net.Conn. Closing a connection in which a request waits does
-// nothing: the server's reader is about to find it.
+// Close implements net.Conn. It does nothing if a request is waiting on the
+// connection: the server is about to read it.
 func (c *trackedConn) Close() error {
 	if c.connections.deferClose(c) {
 		return nil
--- a/internal/draining/draining_test.go
+++ b/internal/draining/draining_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// pair returns both ends of a connection on loopback, the near one watched.
+// connect returns both ends of a loopback connection; the server's end is tracked.
 func connect(t *testing.T, connections *Connections) (server *trackedConn, client net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,7 +36,7 @@
 	for !hasUnread(server.Conn) {
 		runtime.Gosched()
 	}
-	is.NoErr(server.Close()) // spared
+	is.NoErr(server.Close()) // deferred
 	first := make([]byte, 3)
 	_, err = io.ReadFull(server, first)
 	is.NoErr(err)
@@ -45,14 +45,14 @@
 	shutdown := make(chan error, 1)
 	go func() { shutdown <- connections.Shutdown(context.Background(), &http.Server{}) }()
 	connections.ConnState(server, http.StateActive)
-	is.NoErr(server.Close()) // answered
+	is.NoErr(server.Close()) // the request was answered
 	is.NoErr(<-shutdown)
 	_, err = server.Read(first)
 	is.True(err != nil)
 }
 
-// A server that runs late has read a request's first bytes, and still counts the connection
-// as resting.
+// A busy server may have read the first bytes of a request while net/http still
+// counts the connection as idle.
 func TestConnectionWithPartlyReadRequestStaysOpen(t *testing.T) {
 	is := is.New(t)
 	connections := New()
@@ -62,12 +62,12 @@
 	is.NoErr(err)
 	_, err = io.ReadFull(server, make([]byte, 3))
 	is.NoErr(err)
-	is.NoErr(server.Close()) // spared
+	is.NoErr(server.Close()) // deferred
 	_, err = io.WriteString(server, "answer")
 	is.NoErr(err)
 	connections.ConnState(server, http.StateActive)
 	connections.ConnState(server, http.StateIdle)
-	is.NoErr(server.Close()) // answered, and nothing read since
+	is.NoErr(server.Close()) // the request was answered, and nothing was read since
 	_, err = io.ReadAll(client)
 	is.NoErr(err)
 	is.NoErr(connections.Shutdown(context.Background(), &http.Server{}))
@@ -84,8 +84,8 @@
 	is.NoErr(connections.Shutdown(context.Background(), &http.Server{}))
 }
 
-// TestWorkingConnectionIsClosed: what the server closes by its own decision isn't
-// spared, whatever waits in it.
+// A connection that the server closes while it is active is closed, even if unread
+// bytes are waiting.
 func TestActiveConnectionIsClosed(t *testing.T) {
 	is := is.New(t)
 	connections := New()
@@ -120,8 +120,7 @@
 	is.True(err != nil)
 }
 
-// TestConnectionsThatWaitAreStillAccepted: what callers have opened before the
-// listener closes is served.
+// Connections that clients opened before the listener closes are still accepted.
 func TestBacklogIsAcceptedAfterClose(t *testing.T) {
 	is := is.New(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -151,8 +150,7 @@
 	is.True(err != nil)
 }
 
-// TestServerAnswersWhatWaitedAtItsEnd stops a server whose reader has not yet seen
-// any of the requests that wait.
+// The server is stopped before it has accepted the connection of a request.
 func TestServerAnswersBackloggedRequestAfterClose(t *testing.T) {
 	is := is.New(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -165,7 +163,7 @@
 	connections := New()
 	server := &http.Server{ConnState: connections.ConnState, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answer") })}
 	listener := connections.Listener(inner)
-	is.NoErr(listener.Close()) // as Shutdown does, before anything was accepted
+	is.NoErr(listener.Close()) // as Shutdown does, before any connection was accepted
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
 	text, err := io.ReadAll(client)
--- a/internal/draining/unread_linux.go
+++ b/internal/draining/unread_linux.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// hasUnread tells whether bytes wait in a connection's socket. It doesn't block,
-// and is false where that can't be known.
+// hasUnread reports whether unread bytes are in the connection's socket. It doesn't
+// block, and returns false if this can't be determined.
 func hasUnread(connection net.Conn) bool {
 	source, ok := connection.(syscall.Conn)
 	if !ok {
--- a/internal/draining/unread_other.go
+++ b/internal/draining/unread_other.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// hasUnread is false where it can't be known.
+// hasUnread returns false: this platform offers no way to look into the socket.
 func hasUnread(net.Conn) bool { return false }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -16,7 +16,7 @@
 	"github.com/harriernotch/harriernotch/internal/hop"
 )
 
-// passOn gives the caller a back end's answer.
+// passOn sends a back end's answer to the caller.
 func (h *Handler) passOn(ctx context.Context, c *call, result outcome) {
 	defer func() { result.cancel() }()
 	h.config.Metrics.headReceived(c, h.clock().Since(c.began))
@@ -24,7 +24,7 @@
 		hop.CopyEndToEnd(c.writer.Header(), result.answer.Header)
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(result.body)))
 		c.writer.WriteHeader(result.answer.StatusCode)
-		// A caller that left can't be told.
+		// A write error means that the caller has left: nobody is there to notify.
 		_, _ = c.writer.Write(result.body)
 		h.completed(c)
 		h.logDone(c, result, 0)
@@ -33,7 +33,7 @@
 	h.passStream(ctx, c, result)
 }
 
-// completed tells the core that a back end's answer was whole.
+// completed records that a back end's answer was passed on completely.
 func (h *Handler) completed(c *call) {
 	h.config.State.decide(func(_ time.Time, core *dispatch.Core) dispatch.Decision {
 		core.Completed(c.exchange)
@@ -41,20 +41,20 @@
 	})
 }
 
-// stream is an answer of events on its way to the caller.
+// stream is an event stream that is being passed on to the caller.
 type stream struct {
 	controller *http.ResponseController
-	// lastID is the last event that the caller has.
+	// lastID is the ID of the last event that was sent to the caller.
 	lastID string
 	events int
 }
 
-// errBehind means that a continued stream doesn't follow the last event.
-var errEventGap = errors.New("the continued stream leaves out an event")
+// errEventGap means that a resumed stream skips events.
+var errEventGap = errors.New("the resumed stream skips an event")
 
-// passStream passes events on as they come, and continues a stream that breaks
-// off at another back end where the route allows it. An answer that can't be
-// completed is cut visibly.
+// passStream passes events on as they arrive. If the stream breaks off, and the route
+// allows it, the stream is resumed at another back end. An answer that can't be completed is
+// cut in a way that the caller notices.
 func (h *Handler) passStream(ctx context.Context, c *call, result outcome) {
 	s := &stream{controller: http.NewResponseController(c.writer)}
 	for {
@@ -75,20 +75,20 @@
 	}
 }
 
-// callerError marks a failure to write to the caller.
+// callerWriteError is a failure to write to the caller.
 type callerWriteError struct{ cause error }
 
 func (e *callerWriteError) Error() string { return "write to the caller: " + e.cause.Error() }
 func (e *callerWriteError) Unwrap() error { return e.cause }
 
 const (
-	// pausesUntilSilent and leastSilence bound the pause after which a stream
-	// that can be continued elsewhere is given up.
+	// silenceFactor times the route's pause objective, but at least minSilence, is the
+	// silence after which a stream that can be resumed elsewhere is abandoned.
 	silenceFactor = 4
 	minSilence    = time.Second
 )
 
-// copyEvents passes whole events on until the stream ends.
+// copyEvents passes complete events on until the stream ends.
 func (h *Handler) copyEvents(c *call, s *stream, result outcome) error {
 	silence := h.watchSilence(c, result)
 	defer silence.stop()
@@ -103,8 +103,8 @@
 		}
 		silence.reset()
 		if s.events == 0 {
-			// The head goes out with the first event: until then another back end's
-			// answer, or a refusal, can still take this one's place.
+			// The response header is sent with the first event. Until then, the answer of another
+			// back end or an error can still replace this one.
 			hop.CopyEndToEnd(c.writer.Header(), result.answer.Header)
 			c.writer.WriteHeader(result.answer.StatusCode)
 		}
@@ -121,8 +121,8 @@
 	}
 }
 
-// follows tells whether the event is the next one; one that the caller has is
-// passed over.
+// isNext reports whether the event follows the last one sent. Events that the caller already
+// has are to be skipped; a gap is an error.
 func (s *stream) isNext(id string) (isNext bool, err error) {
 	if id == "" || s.lastID == "" {
 		return true, nil
@@ -149,14 +149,14 @@
 	return s.controller.Flush()
 }
 
-// pauseWatch ends an attempt that has been silent for too long. Where this process
-// itself runs late, what has come may not have been read yet: it is given that much
-// more time, once for each silence.
+// silenceTimer ends an attempt that has been silent for too long. If this process itself runs
+// late, data may have arrived that it hasn't read yet: the limit is then extended by the lag,
+// once per silence.
 type silenceTimer struct {
 	timer *time.Timer
 	limit time.Duration
 	lag   func() time.Duration
-	// extended is set while a silence has been given more time.
+	// extended is set once the limit has been extended in the current silence.
 	extended atomic.Bool
 	cancel   func()
 }
@@ -180,7 +180,7 @@
 	return silence
 }
 
-// start begins to watch.
+// start starts the timer.
 func (t *silenceTimer) start() {
 	started := make(chan struct{})
 	t.timer = time.AfterFunc(t.limit, func() { <-started; t.fire() })
@@ -225,8 +225,8 @@
 	return outcome{}, false
 }
 
-// cut ends an answer that can't be completed: with an error while nothing of it
-// was sent, else by closing the caller's connection, for which it doesn't return.
+// cut ends an answer that can't be completed. If none of it was sent, the caller gets an
+// error; otherwise cut closes the caller's connection by a panic and doesn't return.
 func (h *Handler) cut(c *call, result outcome, s *stream, cause error) {
 	h.logCut(c, result, s.events, cause)
 	if c.request.Context().Err() == nil {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -17,11 +17,11 @@
 	"github.com/harriernotch/harriernotch/internal/hop"
 )
 
-// outcome is what came of an attempt: an answer to pass on, or what to do next.
+// outcome is the result of an attempt: an answer to pass on, or the next decision.
 type outcome struct {
 	answer *http.Response
 	facts  AnswerFacts
-	// body is the whole body of an answer that isn't a stream.
+	// body is the complete body of an answer that isn't a stream.
 	body []byte
 	// cancel ends the attempt.
 	cancel context.CancelFunc
@@ -29,10 +29,10 @@
 	next   dispatch.Decision
 }
 
-// maxHeldBytes bounds an answer that is read whole before it is passed on.
+// maxBufferedAnswer limits an answer that is read completely before it is passed on.
 const maxBufferedAnswer = 8 << 20
 
-// attempt sends the request to one back end.
+// attempt sends the request to one back end and evaluates its answer.
 func (h *Handler) attempt(ctx context.Context, c *call, send dispatch.Send, resumeAfter string) outcome {
 	h.logSend(c, send, resumeAfter)
 	ctx, cancel := context.WithCancel(ctx)
@@ -72,7 +72,7 @@
 	request.Host = c.request.Host
 	hop.CopyEndToEnd(request.Header, c.request.Header)
 	if request.Header.Get("User-Agent") == "" {
-		// An empty value keeps the transport from adding its own.
+		// An empty value stops the transport from adding its own.
 		request.Header["User-Agent"] = []string{""}
 	}
 	h.config.Dialect.WriteForward(request.Header, Forward{
@@ -89,10 +89,10 @@
 	return h.config.Fresh.RoundTrip(request)
 }
 
-// middleRank is the rank that back ends give to requests without one.
+// defaultRank is the rank that back ends assume for requests without one.
 const defaultRank = 5
 
-// engineRank is the urgency that back ends are told.
+// engineRank returns the urgency that is sent to back ends.
 func (h *Handler) engineRank(c *call) int {
 	if h.config.Disabled[dispatch.EnginePriority] {
 		return defaultRank
@@ -100,7 +100,7 @@
 	return c.urgency
 }
 
-// noAnswer asks the core what follows from an attempt without an answer.
+// noAnswer lets the core decide how to continue after an attempt without an answer.
 func (h *Handler) noAnswer(c *call, send dispatch.Send, cause error, expired bool) dispatch.Decision {
 	if c.request.Context().Err() != nil {
 		return dispatch.Decision{GiveUp: failure.Wrap(failure.CallerGone, cause, "the caller left")}
@@ -124,7 +124,8 @@
 	return next
 }
 
-// judge decides whether an answer is the back end's own to this request.
+// checkAnswer checks that an answer is the back end's own answer to this request, and
+// decides whether it is passed on.
 func (h *Handler) checkAnswer(c *call, send dispatch.Send, response *http.Response) outcome {
 	facts := h.config.Dialect.ReadAnswer(response.StatusCode, response.Header)
 	foreign := facts.ID != c.facts.ID && (facts.ID != "" || !facts.NotRun)
@@ -169,8 +170,8 @@
 	return result
 }
 
-// promisesNotRun tells whether callers take the status for a promise that the
-// request was not run; a back end's own answer with it can't be passed on.
+// promisesNotRun reports whether callers take the status as a promise that the request was
+// not run. An answer with such a status from a back end that did run it can't be passed on.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -180,8 +181,7 @@
 	}
 }
 
-// readWhole reads a body to its end, so that one that is cut is never passed on
-// as whole.
+// readWhole reads a body to its end, so that a truncated one is never passed on as complete.
 func (h *Handler) readWhole(c *call, response *http.Response) ([]byte, error) {
 	defer response.Body.Close()
 	reader := &answerBodyReader{reader: io.LimitReader(response.Body, maxBufferedAnswer+1), handler: h, call: c, size: response.ContentLength}
@@ -204,8 +204,8 @@
 	return outcome{next: next}
 }
 
-// failed asks the core whether another attempt may help after a failure of the
-// back end's own; if not, its answer is passed on.
+// failed lets the core decide whether to retry after a back end answered with a failure of
+// its own. If not, that answer is passed on.
 func (h *Handler) failed(c *call, send dispatch.Send, response *http.Response, result outcome) outcome {
 	tried := h.rejectAnswer(c, send, response, "the back end failed", (*dispatch.Core).Failed)
 	if tried.next.Send == nil && tried.next.GiveUp == nil {
--- a/internal/gateway/held.go
+++ b/internal/gateway/buffering.go
@@ -9,10 +9,10 @@
 	"github.com/go-faster/errors"
 )
 
-// errNoRoom means that a body can't be held beside what is held already.
-var errNoRoom = errors.New("too much is held")
+// errNoRoom means that a request body doesn't fit within the buffer limit.
+var errNoRoom = errors.New("no room in the buffers")
 
-// admittedReader reads a caller's body as far as there is room.
+// requestBodyReader reads a caller's body as long as there is room in the buffers.
 type requestBodyReader struct {
 	reader  io.Reader
 	handler *Handler
@@ -28,13 +28,13 @@
 	return n, err
 }
 
-// heldReader reads a back end's answer, and waits where there is no room: the back end isn't
-// read meanwhile.
+// answerBodyReader reads a back end's answer. While the buffers have no room, it waits and
+// doesn't read from the back end.
 type answerBodyReader struct {
 	reader  io.Reader
 	handler *Handler
 	call    *call
-	// size is that of the whole answer, below 0 where it isn't told.
+	// size is the size of the whole answer, or negative if unknown.
 	size int64
 }
 
@@ -52,18 +52,19 @@
 	return n, err
 }
 
-// release gives back what the call held.
+// releaseBuffers returns the bytes that the call used of the buffer limit.
 func (h *Handler) releaseBuffers(c *call) {
 	h.config.Buffers.Release(c.bufferedRequest, c.bufferedAnswer)
 	c.bufferedRequest, c.bufferedAnswer = 0, 0
 }
 
-// writingGrace is how long after its deadline a caller may still read what was sent to it.
+// writeGrace is how long after its deadline a caller may still read what was sent to it.
 const writeGrace = 2 * time.Second
 
-// boundWriting ends a caller's connection that reads nothing for longer than it said that it
-// waits: what it doesn't read would be held for as long as its connection lasts. Each request sets
-// the bound anew, since that of the one before on the connection has passed by then.
+// setWriteDeadline closes the connection of a caller that stops reading for longer than it
+// said it would wait; otherwise what it doesn't read would stay buffered for as long as its
+// connection lasts. Every request sets a new deadline, because that of the previous request on
+// the connection has passed by then.
 func (h *Handler) setWriteDeadline(c *call, wait time.Duration) {
 	controller := http.NewResponseController(c.writer)
 	if err := controller.SetWriteDeadline(time.Now().Add(wait + writeGrace)); err != nil {
--- a/internal/gateway/heldbytes_test.go
+++ b/internal/gateway/bufferlimit_test.go
@@ -23,7 +23,7 @@
 	is.True(buffers.AcquireRequest(50, 3))
 }
 
-// Answers that lie unread cost new requests nothing.
+// Answers that callers don't read take no room from new requests.
 func TestBufferedAnswersLeaveRoomForRequests(t *testing.T) {
 	is := is.New(t)
 	buffers := NewBufferLimit(100 << 10)
@@ -31,12 +31,12 @@
 	is.True(buffers.AcquireRequest(40<<10, 0))
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	is.True(buffers.AcquireAnswer(ended, 1<<10, 0, 10<<10) != nil) // a large one waits, its beginning too
+	is.True(buffers.AcquireAnswer(ended, 1<<10, 0, 10<<10) != nil) // a large answer waits, and so does its beginning
 	is.True(buffers.AcquireAnswer(ended, 1<<10, 0, -1) != nil)
-	is.NoErr(buffers.AcquireAnswer(ended, 8<<10, 0, 8<<10)) // a small one passes beside it
+	is.NoErr(buffers.AcquireAnswer(ended, 8<<10, 0, 8<<10)) // a small one doesn't
 }
 
-// An answer that is ready waits for room, and gets it when another was read.
+// An answer waits for room and gets it when another one was read.
 func TestAnswerWaitsUntilAnotherIsReleased(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -64,8 +64,8 @@
 	is.NoErr(buffers.AcquireAnswer(t.Context(), 5000, 5000, -1))
 }
 
-// Whatever is admitted, held and released: what is held is what wasn't released, within the
-// bounds.
+// For any sequence of acquires and releases, the bytes in use are those acquired and not
+// released, and stay within the limits.
 func TestBufferedBytesMatchAcquiredLessReleased(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		buffers := NewBufferLimit(1000)
@@ -83,7 +83,7 @@
 				acquired, total = append(acquired, bytes), total+bytes
 			}
 			if requests, _ := buffers.InUse(); requests != total || requests > 500 {
-				t.Fatalf("%d held, %d kept", requests, total)
+				t.Fatalf("%d bytes in use, want %d and at most 500", requests, total)
 			}
 		}
 	})
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -1,6 +1,6 @@
-// Package gateway is the shell of a router that sends straight to back ends: it
-// serves callers over HTTP, asks the dispatch core where each request goes, and
-// passes answers on whole.
+// Package gateway implements a router that sends requests directly to back ends, without
+// agents. It serves callers over HTTP, lets the dispatch core choose the back end for each
+// attempt, and passes on complete answers.
 package gateway
 
 import (
@@ -10,66 +10,66 @@
 	"github.com/harriernotch/harriernotch/internal/dispatch"
 )
 
-// Dialect translates between the headers that callers and back ends use and the
-// gateway's own terms. It decides nothing.
+// Dialect translates between the headers of callers and back ends and the gateway's own
+// types. It makes no decisions.
 type Dialect interface {
-	// ReadRequest returns what a caller's headers say.
+	// ReadRequest parses a caller's headers.
 	ReadRequest(header http.Header) RequestFacts
-	// WriteForward turns a caller's headers into those for a back end, in place.
+	// WriteForward replaces a caller's headers by those for a back end, in place.
 	WriteForward(header http.Header, forward Forward)
-	// ReadAnswer returns what a back end's answer says.
+	// ReadAnswer parses the status and headers of a back end's answer.
 	ReadAnswer(status int, header http.Header) AnswerFacts
-	// FormatWait formats the time to come back for the Retry-After header.
+	// FormatWait formats a time to wait for the Retry-After header.
 	FormatWait(wait time.Duration) string
 }
 
-// RequestFacts is what a caller's headers say.
+// RequestFacts is the content of a caller's headers.
 type RequestFacts struct {
-	// ID is the request's own.
+	// ID is the request's ID, chosen by the caller.
 	ID string
 	// Key authenticates the tenant.
 	Key string
-	// Timeout is how long the caller waits; 0 when it doesn't say.
+	// Timeout is how long the caller waits; 0 if the headers don't say.
 	Timeout time.Duration
-	// Parts are the prompt's parts in order.
+	// Parts are the parts of the prompt, in order.
 	Parts []dispatch.Part
 }
 
-// Forward is what a gateway tells a back end.
+// Forward is the content of the headers that are sent to a back end.
 type Forward struct {
 	// Remaining is the time left for the request.
 	Remaining time.Duration
-	// BackEnd is the incarnation that is meant; any other refuses.
+	// BackEnd is the ID of the intended back end; any other one refuses the request.
 	BackEnd string
 	// Tenant is the authenticated tenant, or "" on a public route.
 	Tenant string
 	// Urgency ranks the request; 0 is the most urgent.
 	Urgency int
-	// FetchFrom is a back end that keeps the prompt's parts, or "".
+	// FetchFrom is a back end from which prompt parts can be copied, or "".
 	FetchFrom string
-	// ResumeAfter is the last event that the caller has, or "" from the start.
+	// ResumeAfter is the ID of the last event that the caller has, or "" for a new stream.
 	ResumeAfter string
 }
 
-// AnswerFacts is what a back end's answer says.
+// AnswerFacts is the content of the headers of a back end's answer.
 type AnswerFacts struct {
-	// ID is the request that is answered.
+	// ID is the ID of the request that is answered.
 	ID string
-	// Signed is true when the back end vouches for the answer.
+	// Signed is true if the answer carries the back end's signature.
 	Signed bool
-	// NotRun is true when the back end promises that it did not run the request.
+	// NotRun is true if the back end promises that it did not run the request.
 	NotRun bool
-	// Elsewhere is true when another back end has the address.
+	// Misdirected is true if the address now belongs to another back end.
 	Misdirected bool
-	// Met names the back end that has the address where it is another one; "" where it doesn't
-	// tell.
+	// ActualBackEnd is the ID of the back end that has the address, if Misdirected; "" if the
+	// answer doesn't name it.
 	ActualBackEnd string
-	// Encoded is true when the body isn't the back end's own bytes.
+	// Encoded is true if the body is encoded (compressed), not the back end's own bytes.
 	Encoded bool
-	// Load is the back end's load, or -1.
+	// Load is the back end's load, or -1 if unknown.
 	Load int
-	// Leaving is true when the back end says that it leaves: it wants no new work.
+	// Leaving is true if the back end says that it is leaving and wants no new work.
 	Leaving bool
-	// Rest is for how long the back end wants nothing from this gateway; 0 when it doesn't say.
+	// RetryAfter is how long the back end wants no requests from this gateway; 0 if not given.
 	RetryAfter time.Duration
 }
--- a/internal/gateway/eras.go
+++ b/internal/gateway/eras.go
@@ -7,21 +7,21 @@
 	"github.com/harriernotch/harriernotch/internal/eventlog"
 )
 
-// Era returns the highest era of the store that was heard of; 0 for none.
+// Era returns the highest era of the store that this gateway knows of; 0 for none.
 func (s *State) Era() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.view.Era()
 }
 
-// EraChanged returns a channel that is closed once a new era is heard of.
+// EraChanged returns a channel that is closed when a new era is observed.
 func (s *State) EraChanged() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.eraChanged
 }
 
-// HearEra takes the era that an answer of the store or a peer told; 0 where it told none.
+// ObserveEra processes the era reported by the store or a peer; 0 if they reported none.
 func (s *State) ObserveEra(era uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -37,21 +37,22 @@
 	}
 }
 
-// SettleEra notes that operators and back ends have had the time to write theirs again.
+// SettleEra records that operators and back ends have had time to write their records of the
+// era again.
 func (s *State) SettleEra(era uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.view.SettleEra(era)
 }
 
-// WithheldRecords returns the records of the requests that are withheld here.
+// WithheldRecords returns the crash records of the requests that are withheld here.
 func (s *State) WithheldRecords() []dispatch.CrashRecord {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.core.WithheldRecords()
 }
 
-// Lacking returns the known records whose content isn't among the stored ones.
+// MissingRecords returns the known records whose content isn't among the stored ones.
 func MissingRecords(known, stored []dispatch.CrashRecord) []dispatch.CrashRecord {
 	isStored := make(map[dispatch.Fingerprint]bool, len(stored))
 	for _, each := range stored {
--- a/internal/gateway/orders.go
+++ b/internal/gateway/evacuations.go
@@ -14,7 +14,7 @@
 	s.knowsEvacuations, s.knowsRestorations = false, false
 }
 
-// SetRecalled notes that it is known which zones were restored of late.
+// SetRestorationsKnown records that it is known which zones were recently restored.
 func (s *State) SetRestorationsKnown() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -24,24 +24,24 @@
 	}
 }
 
-// knowsOrders tells whether the gateway knows which services are moved to another version,
-// which zones are evacuated and, where back ends warm up, which were restored of late: their
-// back ends turned cold and haven't said so yet. It does without the latter, which one gateway
-// reads for all, after startPatience.
+// knowsOrders reports whether the gateway knows which services are being moved to another
+// version, which zones are evacuated and, if back ends need a warm-up, which zones were
+// recently restored: their back ends have gone cold and have not yet reported it. One gateway
+// reads the recent restorations for all; after startupWait, the others no longer wait for them.
 func (s *State) knowsOrders() bool {
 	needsNoRestorations := s.view.Index() != nil && !s.core.HasWarmUps()
 	return s.knowsEvacuations && s.knowsRollouts && (s.knowsRestorations || needsNoRestorations || s.clock.Since(s.startedAt) >= startupWait)
 }
 
-// learn notes that all orders of a kind are known once they were told completely, and tells
-// whether they weren't before.
+// markKnown sets known if the orders of a kind have now been received completely, and reports
+// whether it was unset before.
 func markKnown(known *bool, isComplete bool) (first bool) {
 	first = isComplete && !*known
 	*known = *known || isComplete
 	return first
 }
 
-// OfferEvacuationList takes the complete list of evacuated zones.
+// OfferEvacuationList merges the complete list of evacuated zones.
 func (s *State) OfferEvacuationList(evacuations []catalog.Evacuation, at catalog.Position, source string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -49,8 +49,8 @@
 	s.applyEvacuations(s.view.OfferEvacuationList(evacuations, at), first, source)
 }
 
-// OfferEvacuations takes changes of the evacuated zones. A peer's are complete, since it
-// tells all that it knows first.
+// OfferEvacuations merges changes of the evacuated zones. Those of a peer make the list
+// complete, because a peer first sends all that it knows.
 func (s *State) OfferEvacuations(evacuations []catalog.Evacuation, source string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -59,8 +59,8 @@
 	s.applyEvacuations(s.view.OfferEvacuations(evacuations), first, source)
 }
 
-// applyEvacuations passes on what is news; first is set when the gateway hasn't known
-// which zones are evacuated.
+// applyEvacuations logs and applies changed evacuations. first is true if the gateway did not
+// know before which zones are evacuated.
 func (s *State) applyEvacuations(changed []catalog.Evacuation, first bool, source string) {
 	if len(changed) == 0 && !first {
 		return
--- a/internal/gateway/fingerprint.go
+++ b/internal/gateway/fingerprint.go
@@ -9,10 +9,11 @@
 	"github.com/harriernotch/harriernotch/internal/dispatch"
 )
 
-// fingerprints returns what stands for the content of the request: host, method, path,
-// tenant and body. Callers may vary the query with each repeat, and a back end may trip over
-// the query alone, so a request with a query has a second fingerprint that covers it. The
-// hash is cryptographic: else a tenant could make up a request that stands for another's.
+// fingerprints returns hashes that identify the request's content: host, method, path, tenant
+// and body. Callers may vary the query with each repeat, while a back end may crash because of
+// the query alone; a request with a query therefore has a second fingerprint that includes it.
+// The hash is cryptographic, because otherwise a tenant could craft a request with the same
+// fingerprint as another tenant's.
 func (c *call) fingerprints() []dispatch.Fingerprint {
 	path, query, hasQuery := strings.Cut(c.request.RequestURI, "?")
 	digest := sha256.New()
@@ -28,11 +29,11 @@
 	return list
 }
 
-// writeField adds a field with its length, so that no two lists of fields look alike.
+// writeField adds a field with its length, so that different lists of fields never collide.
 func writeField(digest hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
-	// A hash never fails to take bytes.
+	// hash.Hash never returns an error from Write.
 	_, _ = digest.Write(length[:])
 	_, _ = digest.Write(field)
 }
--- a/internal/gateway/fingerprint_test.go
+++ b/internal/gateway/fingerprint_test.go
@@ -22,16 +22,16 @@
 	} {
 		is.True(other.fingerprints()[0] != base[0])
 	}
-	// A query that changes with each repeat doesn't hide the request, and one that matters
-	// is told apart.
+	// A query that changes with each repeat doesn't change the first fingerprint, and a query
+	// that matters changes the second.
 	one, two := callOf("h", "POST", "/a/b?x=1", "t", "body").fingerprints(), callOf("h", "POST", "/a/b?x=2", "t", "body").fingerprints()
 	is.Equal(one[0], base[0])
 	is.Equal(two[0], base[0])
 	is.True(one[1] != two[1])
 }
 
-// BenchmarkFingerprints: what each request costs while any content is withheld, 10 us with a
-// body of 12 KB; nothing otherwise.
+// BenchmarkFingerprints measures the cost per request while any content is withheld: 10 us with
+// a body of 12 KB. Otherwise no fingerprints are computed.
 func BenchmarkFingerprints(b *testing.B) {
 	c := callOf("chat.example", "POST", "/chat/17f/fb06", "tenant", string(make([]byte, 12<<10)))
 	for b.Loop() {
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -18,57 +18,58 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// Config sets up a Handler.
+// Config configures a Handler.
 type Config struct {
-	// State decides.
+	// State decides which back end gets each request.
 	State *State
-	// Dialect translates headers.
+	// Dialect translates headers between callers, the gateway and back ends.
 	Dialect Dialect
-	// Reused carries requests that may repeat, on kept connections; Fresh carries
-	// the others, each on a connection of its own: a kept one may be closed by the
-	// back end while a request is on its way, and the outcome is then unknown.
+	// Reused carries requests that may be repeated, on pooled connections. Fresh carries
+	// all others, each on a new connection: a back end may close a pooled connection
+	// while a request is on its way, and it is then unknown whether the request ran.
 	Reused Transport
 	Fresh  http.RoundTripper
-	// MaxBodyBytes bounds a body where the configuration doesn't.
+	// MaxBodyBytes limits a request body if the configuration sets no limit.
 	MaxBodyBytes int64
-	// Held bounds what is held for callers and back ends together.
+	// Buffers limits the bytes buffered for callers and back ends together.
 	Buffers *BufferLimit
-	// Lag tells when this process has stood still.
+	// Lag detects that this process was paused.
 	Lag *LagMeter
-	// Log and Metrics take what operators should know.
+	// Log and Metrics receive what operators should know.
 	Log     *eventlog.Log
 	Metrics *Metrics
-	// Disabled switches mechanisms off to show that checks notice.
+	// Disabled switches mechanisms off, for tests which verify that the checks detect it.
 	Disabled dispatch.Disabled
 }
 
-// Transport carries requests on connections that it keeps.
+// Transport sends requests on pooled connections.
 type Transport interface {
 	http.RoundTripper
-	// CloseIdleConnections closes those that carry no request.
+	// CloseIdleConnections closes the connections that carry no request.
 	CloseIdleConnections()
 }
 
-// Handler serves callers.
+// Handler serves the callers' HTTP requests.
 type Handler struct {
 	config Config
-	// keptAnew is when the kept connections were last given up, in nanoseconds since 1970.
+	// idleClosedAt is when the pooled connections were last closed, in nanoseconds since 1970.
 	idleClosedAt atomic.Int64
 }
 
-// NewHandler returns a handler.
+// NewHandler returns a Handler.
 func NewHandler(config Config) *Handler { return &Handler{config: config} }
 
-// clock is the one by which ages are told.
+// clock returns the clock by which ages are measured.
 func (h *Handler) clock() *clock.Clock { return h.config.State.Clock() }
 
-// keptAnewPause is the least time between two times that kept connections are given up: a
-// back end that has gone silent lets many requests expire, and says nothing of the others'
-// connections.
+// idleClosePause is the minimum time between two closings of the pooled connections. A back
+// end that has stopped responding makes many requests expire, and that says nothing about
+// the connections to the others.
 const idleClosePause = 3 * time.Second
 
-// giveUpKept closes the kept connections after a request on one of them got no answer in
-// time: all may have fallen silent without a reset, and each would cost a further attempt.
+// closeReused closes the idle pooled connections after a request on one of them got no
+// answer in time: all of them may have gone dead without a reset, and each would cost
+// another attempt.
 func (h *Handler) closeReused() {
 	now, last := time.Now().UnixNano(), h.idleClosedAt.Load()
 	if now-last < int64(idleClosePause) || !h.idleClosedAt.CompareAndSwap(last, now) {
@@ -90,14 +91,13 @@
 	deadline time.Time
 	urgency  int
 	exchange *dispatch.Exchange
-	// heldRequest and heldAnswer are what it holds of Config.Held.
+	// bufferedRequest and bufferedAnswer are the bytes that the call uses of Config.Buffers.
 	bufferedRequest, bufferedAnswer int64
-	// unlogged are the decisions that the log's budget left out.
+	// unloggedSends are decisions to send that the log's budget left out.
 	unloggedSends []sendDecision
 }
 
-// defaultTimeout is used for callers that don't say how long they wait and
-// routes without a time-out.
+// defaultTimeout applies if neither the caller nor the route sets a shorter time-out.
 const defaultTimeout = time.Minute
 
 // ServeHTTP implements http.Handler.
@@ -118,7 +118,7 @@
 	h.route(ctx, c)
 }
 
-// prepare finds the route and the tenant and reads the body.
+// prepare finds the route and the tenant, and reads the body.
 func (h *Handler) prepare(c *call) error {
 	index := h.config.State.Index()
 	if index == nil {
@@ -158,13 +158,14 @@
 	return nil
 }
 
-// Ranks of requests: routes within tenants.
+// routeRanks is the number of ranks for routes within each tenant priority. lastRank is the
+// rank of the least urgent requests.
 const (
 	routeRanks = 3
 	lastRank   = 9
 )
 
-// urgency ranks a request by its tenant before its route.
+// urgency ranks a request by its tenant first and then by its route.
 func urgency(tenantPriority, routePriority int) int {
 	rank := tenantPriority*routeRanks + min(routePriority, routeRanks-1)
 	return max(0, min(rank, lastRank))
@@ -184,8 +185,8 @@
 	if limit <= 0 {
 		limit = h.config.MaxBodyBytes
 	}
-	// A caller that stalls in its body holds a connection no longer than it may
-	// wait for its answer.
+	// A caller that stalls while sending its body must not hold a connection for longer
+	// than it may wait for its answer.
 	controller := http.NewResponseController(c.writer)
 	if err := controller.SetReadDeadline(time.Now().Add(h.clock().Until(c.deadline))); err != nil {
 		return failure.Wrap(failure.Internal, err, "bound the time of the body")
@@ -208,7 +209,7 @@
 	return nil
 }
 
-// route makes attempts until one of them has answered the caller.
+// route makes attempts until one of them has answered the caller, or gives up.
 func (h *Handler) route(ctx context.Context, c *call) {
 	path, _, _ := strings.Cut(c.request.RequestURI, "?")
 	decision := h.decideSend(c, func(now time.Time, core *dispatch.Core) (d dispatch.Decision) {
@@ -233,8 +234,8 @@
 	h.refuse(c, decision.GiveUp)
 }
 
-// decideSend runs a step that may decide on an attempt, once this process knows what happened
-// while it stood still.
+// decideSend runs a step that may decide on an attempt. If this process was paused, it first
+// waits until the process has caught up with what happened meanwhile.
 func (h *Handler) decideSend(c *call, step func(now time.Time, core *dispatch.Core) dispatch.Decision) dispatch.Decision {
 	if wait := h.config.Lag.SettleWait(h.clock().Now()); wait > 0 {
 		timer := time.NewTimer(wait)
@@ -247,7 +248,7 @@
 	return h.config.State.decide(step)
 }
 
-// refuse gives the caller its final answer at once.
+// refuse replies to the caller with a final error.
 func (h *Handler) refuse(c *call, err error) {
 	kind := failure.KindOf(err)
 	h.config.Metrics.refused(c, kind)
--- a/internal/gateway/lag.go
+++ b/internal/gateway/lag.go
@@ -8,47 +8,48 @@
 	"github.com/harriernotch/harriernotch/internal/clock"
 )
 
-// LagMeter tells how late this process runs what is due. A gateway that has less
-// processor time than it needs reads answers late, and would take its own slowness
-// for the silence of back ends. Its methods are safe for concurrent use.
+// LagMeter measures how late this process runs due work. A gateway with too little CPU time
+// reads answers late and would mistake its own delay for silence of the back ends. Its methods
+// are safe for concurrent use.
 type LagMeter struct {
-	// clock shows a suspension of the machine as time that passed.
+	// clock counts the time during which the machine was suspended.
 	clock *clock.Clock
 
 	mutex sync.Mutex
-	// worst holds the largest delay of each of the last slots, the newest last.
+	// worst holds the largest delay in each of the last slots, the newest last.
 	worst [lagSlots]time.Duration
-	// latest are the last delays, in no order.
+	// samples are the most recent delays, in no particular order.
 	samples     [sustainedSamples]time.Duration
 	sampleCount int
-	// lookedAt is the last moment at which the process is known to have run, and settledAt
-	// when it knows again what happened while it stood still.
+	// lastRanAt is the last time at which the process is known to have run. settledAt is when it
+	// has caught up with what happened during a pause.
 	lastRanAt time.Time
 	settledAt time.Time
 }
 
 const (
-	// lagPeriod is the time between two looks at the clock.
+	// samplePeriod is the time between two measurements.
 	samplePeriod = 20 * time.Millisecond
-	// lagSlots times lagSlot is how long a delay counts.
+	// lagSlots * lagSlot is how long a delay counts.
 	lagSlots = 5
 	lagSlot  = 200 * time.Millisecond
-	// lastingLooks is the number of looks in a row that a lasting delay shows in.
+	// sustainedSamples is the number of consecutive samples that a sustained delay must show in.
 	sustainedSamples = 4
-	// ordinaryLag is the delay that timers have anyway.
+	// normalLag is the usual delay of timers; shorter delays count as 0.
 	normalLag = 10 * time.Millisecond
-	// standstill is how long a process must not have run to count as one that stood still:
-	// meanwhile zones may have been evacuated and restored, and back ends have turned cold.
-	// settleAfter is the time in which it then reads what its peers and the store have
-	// told. A process sent to cold back ends for 7 ms after it woke.
+	// pauseThreshold is the shortest gap in running that counts as a pause of the process.
+	// During a pause, zones may have been evacuated and restored, and back ends may have lost
+	// their warm state. settleTime is the time after a pause in which the process reads what
+	// peers and the store have sent. Without it, a resumed process sent requests to cold back
+	// ends for 7 ms.
 	pauseThreshold = time.Second
 	settleTime     = 100 * time.Millisecond
 )
 
-// NewLagMeter returns a meter that has seen no delay.
+// NewLagMeter returns a meter without any delay recorded.
 func NewLagMeter(clock *clock.Clock) *LagMeter { return &LagMeter{clock: clock} }
 
-// Run measures until done is closed. It tells the observer of each change.
+// Run measures until done is closed, and calls observe after each change.
 func (m *LagMeter) Run(done <-chan struct{}, observe func(lag, sustained time.Duration)) {
 	timer := time.NewTimer(samplePeriod)
 	defer timer.Stop()
@@ -75,8 +76,8 @@
 	}
 }
 
-// Unsettled returns how long a decision must wait, since the process has stood still until a
-// moment ago; 0 as a rule.
+// SettleWait returns how long a decision must wait because the process was paused until a
+// moment ago. It is usually 0.
 func (m *LagMeter) SettleWait(now time.Time) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -87,7 +88,7 @@
 	return max(0, m.settledAt.Sub(now))
 }
 
-// note takes a delay, into a new slot where the last one has ended.
+// record adds a delay to the current slot, or to a new one if newSlot is set.
 func (m *LagMeter) record(late time.Duration, newSlot bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -103,7 +104,7 @@
 	m.sampleCount++
 }
 
-// Lag returns the largest delay of the last second; 0 on a process that keeps time.
+// Lag returns the largest delay of the last second; 0 if the process runs on time.
 func (m *LagMeter) Lag() time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -114,9 +115,9 @@
 	return worst
 }
 
-// Lasting returns the smallest of the last few delays: it is 0 for a process that
-// was late once, after a pause for example, and high for one that has less
-// processor time than it needs.
+// SustainedLag returns the smallest of the last few delays. It is 0 for a process that was
+// late once, for example after a pause, and high for one that permanently has too little CPU
+// time.
 func (m *LagMeter) SustainedLag() time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/gateway/lag_test.go
+++ b/internal/gateway/lag_test.go
@@ -10,13 +10,12 @@
 	"github.com/harriernotch/harriernotch/internal/bubble"
 )
 
-// TestSilenceIsJudgedByTimeKept: a process that runs late gives a stream that much
-// more time, once for each silence.
+// A process that runs late extends the limit of a stream's silence by its lag, once per silence.
 func TestSilenceLimitIsExtendedOnceByLag(t *testing.T) {
 	cases := map[string]struct {
 		lag, want time.Duration
 	}{
-		"in time": {0, time.Second},
+		"on time": {0, time.Second},
 		"late":    {700 * time.Millisecond, 1700 * time.Millisecond},
 	}
 	for name, c := range cases {
@@ -46,7 +45,7 @@
 		}
 		silence.start()
 		for range 5 {
-			time.Sleep(1400 * time.Millisecond) // within the extension
+			time.Sleep(1400 * time.Millisecond) // within the extended limit
 			silence.reset()
 		}
 		silence.stop()
@@ -58,9 +57,9 @@
 	is := is.New(t)
 	meter := NewLagMeter(nil)
 	meter.record(300*time.Millisecond, false)
-	meter.record(5*time.Millisecond, true) // what timers have anyway
+	meter.record(5*time.Millisecond, true) // the usual delay of timers
 	is.Equal(meter.Lag(), 300*time.Millisecond)
-	is.Equal(meter.SustainedLag(), time.Duration(0)) // it was late once
+	is.Equal(meter.SustainedLag(), time.Duration(0)) // it was late only once
 	for range sustainedSamples {
 		meter.record(200*time.Millisecond, false)
 	}
@@ -84,14 +83,14 @@
 	})
 }
 
-// What a process doesn't know after it stood still it learns within a moment, for which
-// decisions wait.
+// After a pause, decisions wait for a moment until the process has learned what happened
+// meanwhile.
 func TestDecisionsWaitAfterProcessPause(t *testing.T) {
 	is := is.New(t)
 	meter, now := NewLagMeter(nil), time.Now()
 	is.Equal(meter.SettleWait(now), time.Duration(0)) // it has just started
 	now = now.Add(pauseThreshold / 2)
-	is.Equal(meter.SettleWait(now), time.Duration(0)) // runs late, but runs
+	is.Equal(meter.SettleWait(now), time.Duration(0)) // late, but not paused
 	now = now.Add(pauseThreshold)
 	is.Equal(meter.SettleWait(now), settleTime)
 	now = now.Add(settleTime / 2)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -12,7 +12,7 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// Metrics counts what a gateway does. Its labels are bounded: services come from
+// Metrics records a gateway's metrics. The number of label values is bounded: services come from
 // the configuration, and beyond maxServices they share one label.
 type Metrics struct {
 	scope tally.Scope
@@ -22,19 +22,19 @@
 }
 
 const (
-	// maxServices bounds the services with a label of their own.
+	// maxServices limits the number of services with a label of their own.
 	maxServices = 64
-	// otherService labels the rest, and noService requests that got no route.
+	// otherService labels all further services, and noService requests without a route.
 	otherService = "other"
 	noService    = "none"
 )
 
-// NewMetrics returns metrics in the scope.
+// NewMetrics returns metrics that are reported in the scope.
 func NewMetrics(scope tally.Scope) *Metrics {
 	return &Metrics{scope: scope, services: map[string]bool{}}
 }
 
-// service returns the label of a service.
+// service returns the label for a service.
 func (m *Metrics) service(name string) string {
 	if name == "" {
 		return noService
@@ -48,7 +48,7 @@
 	return name
 }
 
-// forCall returns the scope of a request's service and kind of answer.
+// forCall returns the scope tagged with the request's service and kind of answer.
 func (m *Metrics) forCall(c *call) tally.Scope {
 	labels := map[string]string{"service": noService, "stream": "no"}
 	if c.exchange != nil {
@@ -60,19 +60,19 @@
 	return m.scope.Tagged(labels)
 }
 
-// firstByteBuckets are the bounds of the time to the head of an answer.
+// timeToHeadBuckets are the histogram buckets for the time to an answer's header.
 var timeToHeadBuckets = tally.DurationBuckets{
 	5 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond,
 	time.Second, 2500 * time.Millisecond, 5 * time.Second, 10 * time.Second,
 }
 
-// headCame notes the time to the head of an answer that is passed on.
+// headReceived records the time until the header of an answer that is passed on.
 func (m *Metrics) headReceived(c *call, after time.Duration) {
 	m.forCall(c).Histogram("time_to_head", timeToHeadBuckets).RecordDuration(after)
 }
 
-// answered counts an answer that was passed on whole.
+// answered counts an answer that was passed on completely.
 func (m *Metrics) answered(c *call, result outcome) {
 	labels := map[string]string{
 		"status":   strconv.Itoa(result.answer.StatusCode/100) + "xx",
@@ -81,15 +81,15 @@
 	m.forCall(c).Tagged(labels).Counter("answers").Inc(1)
 }
 
-// maxAttemptsLabel is the last number of attempts with a label of its own.
+// maxAttemptsLabel is the largest number of attempts with a label of its own.
 const maxAttemptsLabel = 5
 
-// attemptFailed counts an attempt without an answer to pass on, by its cause.
+// attemptFailed counts an attempt without an answer that can be passed on, by cause.
 func (m *Metrics) attemptFailed(c *call, failed attemptFailure) {
 	m.forCall(c).Tagged(map[string]string{"cause": failed.label()}).Counter("attempts_failed").Inc(1)
 }
 
-// label sorts the cause of a failed attempt into a few.
+// label classifies the cause of a failed attempt.
 func (f attemptFailure) label() string {
 	switch {
 	case f.notSent:
@@ -107,12 +107,12 @@
 	}
 }
 
-// refused counts an error of the gateway's own.
+// refused counts an error that the gateway itself returned.
 func (m *Metrics) refused(c *call, kind failure.Kind) {
 	m.forCall(c).Tagged(map[string]string{"kind": kind.String()}).Counter("refusals").Inc(1)
 }
 
-// noticed counts what an answer says of its back end.
+// noticed counts what a back end's answer says about the back end itself.
 func (m *Metrics) noticed(c *call, notice dispatch.Notice) {
 	if notice.Leaving {
 		m.forCall(c).Tagged(map[string]string{"notice": "leaving"}).Counter("back_end_notices").Inc(1)
@@ -122,10 +122,10 @@
 	}
 }
 
-// cut counts an answer that ended before it was whole.
+// cut counts an answer that ended before it was complete.
 func (m *Metrics) cut(c *call) { m.forCall(c).Counter("answers_cut").Inc(1) }
 
-// Report sets the gauges of what the gateway knows at the moment.
+// Report updates the gauges.
 func (m *Metrics) Report(gauges Gauges) {
 	m.scope.Gauge("configuration_version").Update(float64(gauges.Version))
 	m.scope.Gauge("store_age_seconds").Update(gauges.StoreAge.Seconds())
@@ -150,31 +150,31 @@
 	}
 }
 
-// Gauges is what a gateway knows at one moment.
+// Gauges holds the values of a gateway's gauges at one time.
 type Gauges struct {
-	// Version is the configuration in force.
+	// Version is the version of the current configuration.
 	Version uint64
-	// StoreAge is how long ago the store last answered, PeerAge how old the oldest
-	// live peer's loads are.
+	// StoreAge is the time since the store last answered. PeerAge is the age of the oldest loads
+	// of a live peer.
 	StoreAge time.Duration
 	PeerAge  time.Duration
-	// Lag is how late this process runs what is due.
+	// Lag is how late this process runs due work.
 	Lag time.Duration
-	// Gateways is the number of live gateways, this one included.
+	// Gateways is the number of live gateways, including this one.
 	Gateways int
-	// Evacuated is the number of zones whose back ends get nothing new.
+	// Evacuated is the number of zones whose back ends get no new requests.
 	Evacuated int
-	// Era is that of the store, and Rollouts are the services that are moved to another version.
+	// Era is the era of the store. Rollouts are the services being moved to another version.
 	Era      uint64
 	Rollouts []RolloutGauges
 	// LinesLeftOut is the number of log lines left out since the start.
 	LinesLeftOut int64
-	// Services are those with back ends.
+	// Services are the services with back ends.
 	Services []ServiceGauges
 }
 
-// RolloutGauges is how far a service's move has come: the state as a number (rollout.State), and
-// the attempts of all gateways since the order, all of them and those at the candidate.
+// RolloutGauges is the progress of a service's rollout: the state as a number (rollout.State),
+// and the attempts of all gateways since the order, in total and at the candidate.
 type RolloutGauges struct {
 	Service string
 	State   rollout.State
@@ -182,15 +182,15 @@
 	Exposed int
 }
 
-// ServiceGauges is what a gateway knows of one service.
+// ServiceGauges holds the gauges of one service.
 type ServiceGauges struct {
-	// Name is the service's.
+	// Name is the name of the service.
 	Name string
-	// RetryBudget is the number of further attempts left, UnderWay the number of
-	// this gateway's requests at back ends.
+	// RetryBudget is the number of retries left. InFlight is the number of this gateway's
+	// requests in flight.
 	RetryBudget float64
 	InFlight    int
-	// BackEnds counts those listed, and Unusable those believed not to work.
+	// BackEnds counts the listed back ends, and Unusable those believed not to work.
 	BackEnds int
 	Unusable int
 }
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -9,7 +9,7 @@
 	"github.com/harriernotch/harriernotch/internal/eventlog"
 )
 
-// takeNotice takes what a back end's answer says of the back end itself.
+// applyNotice applies what the headers of a back end's answer say about the back end itself.
 func (h *Handler) applyNotice(c *call, send dispatch.Send, status int, facts AnswerFacts) {
 	if !facts.Leaving && facts.RetryAfter == 0 {
 		return
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -1,26 +1,26 @@
 package gateway
 
-// Duty is a gateway's part in reading the platform's store. A few gateways read for all, so
-// that calls don't grow with the fleet.
+// Duty is a gateway's part in reading the platform's store. A few gateways read for all
+// others, so that the number of calls doesn't grow with the fleet.
 type Duty uint8
 
-// The duties.
+// The duties of a gateway.
 const (
-	// Learns: others read, and tell. A gateway that learns reads seldom, for when it loses
-	// its peers.
+	// Learner gateways get updates from those that read the store. They read it rarely
+	// themselves, in case they lose contact with their peers.
 	Learner Duty = iota
-	// StandsBy: fewer gateways than needed are known to be answered by the store, and
-	// others are to look for it first.
+	// Standby gateways try the store only occasionally. It is known to answer fewer gateways
+	// than needed, and other gateways are to try it first.
 	Standby
-	// Reads: it reads and watches all the time.
+	// Reader gateways read and watch the store continuously.
 	Reader
 )
 
-// Place is a gateway's among the others.
+// Place is a gateway's position in the fleet.
 type Place struct {
-	// Gateways is how many are live, this one included.
+	// Gateways is the number of live gateways, including this one.
 	Gateways int
-	// Duty is what this one does, and Rank how many come before it among those that read.
+	// Duty is this gateway's duty, and Rank the number of readers that precede it.
 	Duty Duty
 	Rank int
 }
--- a/internal/gateway/trail.go
+++ b/internal/gateway/requestlog.go
@@ -11,14 +11,13 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// sendDecision is a decision to send that the log's budget left out. It is kept
-// until the request ends: where that is a bad end, the line is written after all,
-// with the time of the decision.
+// sendDecision is a decision to send that the log's budget left out. It is kept until the
+// request ends. If it ends badly, the line is written after all, with the time of the decision.
 type sendDecision struct {
 	at      time.Time
 	attempt int
 	send    dispatch.Send
-	// storeAge is how old the view was that decided.
+	// storeAge is the time since the last answer of the store when the decision was made.
 	storeAge time.Duration
 }
 
@@ -56,7 +55,7 @@
 	return fields
 }
 
-// logTrail writes the decisions that were left out, since the request ends badly.
+// logUnloggedSends writes the decisions that were left out, because the request ends badly.
 func (h *Handler) logUnloggedSends(c *call) {
 	for _, decision := range c.unloggedSends {
 		fields := h.sendFields(c, decision)
@@ -66,40 +65,39 @@
 	c.unloggedSends = nil
 }
 
-// attemptFailure is an attempt that gave no answer to pass on, and what the core
-// made of it.
+// attemptFailure is an attempt without an answer that can be passed on.
 type attemptFailure struct {
 	send  dispatch.Send
 	cause string
-	// status is the back end's, or 0 without an answer.
+	// status is the status of the back end's answer, or 0 without an answer.
 	status int
-	// events is how many events of a stream had been passed on.
+	// events is the number of stream events that had been passed on.
 	events int
-	// notSent means that nothing of the request left, expired that the wait for an
-	// answer was given up, late that the request's deadline had passed.
+	// notSent means that no byte of the request was sent, expired that the back end was silent
+	// for too long, and deadlinePassed that the request's deadline had passed.
 	notSent        bool
 	expired        bool
 	deadlinePassed bool
 }
 
-// longestLoggedPath bounds a path in a line, in bytes.
+// maxLoggedPath limits a path in a log line, in bytes.
 const maxLoggedPath = 200
 
-// loggedPath is the request's path, without its query, as lines carry it: failures
-// that belong to one path are told apart by it.
+// loggedPath returns the request's path without its query, as it appears in log lines. It
+// identifies failures that affect only one path.
 func (c *call) loggedPath() string {
 	path, _, _ := strings.Cut(c.request.RequestURI, "?")
 	return path[:min(len(path), maxLoggedPath)]
 }
 
-// What follows from a failed attempt, as it is logged.
+// Values of the log field "next": what follows a failed attempt.
 const (
 	nextAttempt = "attempt"
 	nextPassOn  = "pass_on"
 	nextGiveUp  = "give_up"
 )
 
-// logFailure logs an attempt that failed together with what follows from it.
+// logFailure logs a failed attempt and what follows it.
 func (h *Handler) logFailure(c *call, failed attemptFailure, next dispatch.Decision) {
 	h.config.Metrics.attemptFailed(c, failed)
 	h.logUnloggedSends(c)
@@ -125,8 +123,9 @@
 	h.config.Log.Urgent(eventlog.RequestRetried, fields)
 }
 
-// isCallersFault tells whether the caller alone can mend the refusal. Such lines
-// are ordinary: a caller with a lost key must not crowd out failures.
+// isCallersFault reports whether only the caller can correct the refused request. Such log
+// lines are written within the log's budget: a caller without a valid key must not crowd out
+// the log lines about failures.
 func isCallersFault(kind failure.Kind) bool {
 	switch kind {
 	case failure.Unauthenticated, failure.UnknownRoute, failure.InvalidRequest, failure.TooLarge, failure.CallerGone:
@@ -136,7 +135,7 @@
 	}
 }
 
-// logRefusal logs an error of the gateway's own.
+// logRefusal logs an error that the gateway itself returns.
 func (h *Handler) logRefusal(c *call, kind failure.Kind, cause error) {
 	fields := func() logrus.Fields {
 		fields := h.fields(c)
@@ -160,7 +159,7 @@
 	}
 }
 
-// logCut logs an answer that ended before it was whole.
+// logCut logs an answer that ended before it was complete.
 func (h *Handler) logCut(c *call, result outcome, events int, cause error) {
 	fields := func() logrus.Fields {
 		fields := h.fields(c)
@@ -177,8 +176,8 @@
 	h.config.Log.Urgent(eventlog.RequestFailed, fields())
 }
 
-// logDone logs an answer that was passed on whole. One that took more than one
-// attempt, or that reports a failure, is told with its decisions.
+// logDone logs an answer that was passed on completely. If it took more than one attempt or
+// reports a failure, the decisions to send are logged as well.
 func (h *Handler) logDone(c *call, result outcome, events int) {
 	h.config.Metrics.answered(c, result)
 	fields := func() logrus.Fields {
@@ -196,5 +195,5 @@
 	h.config.Log.Ordinary(eventlog.RequestDone, fields)
 }
 
-// serverFailure is the first status that reports a failure of the back end's own.
+// serverFailure is the first status code that reports a failure of the back end.
 const serverFailure = 500
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -12,15 +12,15 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// AwaitRollouts keeps the gateway unready until it knows which services are moved to another
-// version.
+// AwaitRollouts keeps the gateway unready until it knows which services are being moved to
+// another version.
 func (s *State) AwaitRollouts() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.knowsRollouts = false
 }
 
-// OfferRolloutList takes the complete list of orders to move services.
+// OfferRolloutList merges the complete list of rollout orders.
 func (s *State) OfferRolloutList(rollouts []catalog.Rollout, at catalog.Position, source string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -28,8 +28,8 @@
 	s.applyRollouts(s.view.OfferRolloutList(rollouts, at), first, source)
 }
 
-// OfferRollouts takes changes of the orders. A peer's are complete, since it tells all that it
-// knows first.
+// OfferRollouts merges changed rollout orders. Those of a peer make the list complete, because
+// a peer first sends all that it knows.
 func (s *State) OfferRollouts(rollouts []catalog.Rollout, source string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -53,8 +53,7 @@
 	s.announce()
 }
 
-// agesOf returns how long ago the orders were given whose beginning stands in the store, by
-// the time of day.
+// rolloutAges returns the age of each order whose start time is in the store, by the wall clock.
 func rolloutAges(list []catalog.Rollout, now time.Time) map[string]time.Duration {
 	ages := map[string]time.Duration{}
 	for _, each := range list {
@@ -65,7 +64,7 @@
 	return ages
 }
 
-// logRollouts writes the steps of roll-outs with the figures that decided.
+// logRolloutChanges logs the steps of rollouts with the figures that led to them.
 func (s *State) logRolloutChanges() {
 	for _, each := range s.core.TakeRolloutChanges() {
 		fields := logrus.Fields{"service": each.Order.Service, "target": each.Order.Target}
@@ -90,7 +89,7 @@
 	}
 }
 
-// routeName returns the name of the route that a key stands for.
+// routeName returns the name of the route with the key.
 func (s *State) routeName(key uint32) string {
 	if key == 0 {
 		return "all"
@@ -105,15 +104,15 @@
 	return strconv.FormatUint(uint64(key), 16)
 }
 
-// HasRollouts tells whether any service is being moved.
+// HasRollouts reports whether any service is being moved to another version.
 func (s *State) HasRollouts() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.view.Rollouts()) > 0
 }
 
-// LookAtRollouts weighs the evidence, and returns the records that the store should hold and
-// doesn't, as far as this gateway knows.
+// EvaluateRollouts evaluates the evidence. It returns the records that the store should contain
+// but doesn't, as far as this gateway knows.
 func (s *State) EvaluateRollouts() []catalog.Rollout {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -139,28 +138,29 @@
 	return unwritten
 }
 
-// Tallies returns what this gateway has seen of services that are being moved.
+// Tallies returns this gateway's own tallies of the services that are being moved.
 func (s *State) Tallies() []rollout.Tally {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.core.Tallies(s.clock.Now())
 }
 
-// TakeTallies takes the tallies of all gateways.
+// SetTallyTotals sets the tallies of all gateways together. own are the tallies of this gateway
+// that are included in them.
 func (s *State) SetTallyTotals(own []rollout.Tally, totals dispatch.Totals) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.core.SetTallyTotals(s.clock.Now(), own, totals)
 }
 
-// PeerTallies takes a peer's tallies in a small fleet.
+// SetPeerTallies replaces the tallies of a peer, in a small fleet.
 func (s *State) SetPeerTallies(peer string, tallies []rollout.Tally) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.core.SetPeerTallies(s.clock.Now(), peer, tallies)
 }
 
-// HearMarks takes what a peer tells of services that are being moved.
+// MergeMarks merges a peer's knowledge about the services that are being moved.
 func (s *State) MergeMarks(marks []rollout.Mark) {
 	if len(marks) == 0 {
 		return
--- a/internal/gateway/rolloutstatus.go
+++ b/internal/gateway/rolloutstatus.go
@@ -6,34 +6,34 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// RolloutStatus is a service's move to another version, as operators see it.
+// RolloutStatus is the status of a service's move to another version.
 type RolloutStatus struct {
 	Service string `json:"service"`
 	Target  string `json:"target"`
-	// State is what the store says, and Abandoned whether the candidate was found bad.
+	// State is the state in the store. Abandoned is true if the candidate was found to be bad.
 	State     string `json:"state"`
 	Abandoned bool   `json:"abandoned,omitempty"`
-	// Finding tells why, where this gateway found so.
+	// Finding is the reason, if this gateway made the finding.
 	Finding *rollout.Finding `json:"finding,omitempty"`
-	// AgeSeconds is how long ago it was ordered, DurationSeconds its time.
+	// AgeSeconds is the time since the order, and DurationSeconds the ordered duration.
 	AgeSeconds      float64 `json:"age_seconds"`
 	DurationSeconds float64 `json:"duration_seconds"`
-	// Sent counts attempts of all gateways, Exposed those at the candidate, and UnderWay those
-	// that run at the standing version.
+	// Sent counts the attempts of all gateways, Exposed those sent to the candidate version, and
+	// InFlight those that are running at the standing version.
 	Sent     int `json:"sent"`
 	Exposed  int `json:"exposed"`
 	InFlight int `json:"under_way_standing"`
-	// Awaits is what must be before it is completed.
+	// Waits are the conditions that must be met before the rollout is completed.
 	Waits  []rollout.Wait       `json:"awaits,omitempty"`
 	Routes []RolloutRouteStatus `json:"routes"`
 }
 
-// RolloutRouteStatus is the evidence of one route.
+// RolloutRouteStatus is the evidence about the candidate on one route.
 type RolloutRouteStatus struct {
 	Route string `json:"route"`
-	// Share is the part of its requests that go to the candidate.
+	// Share is the fraction of the route's requests that go to the candidate.
 	Share float64 `json:"share"`
-	// Doubt is the logarithm of how much likelier a bad candidate is by its answers.
+	// Doubt is the log-likelihood ratio, given the answers, of a bad candidate to a good one.
 	Doubt           float64 `json:"doubt"`
 	Answers         uint32  `json:"answers"`
 	Failed          uint32  `json:"failed"`
@@ -45,7 +45,7 @@
 	StandingTimed   uint32  `json:"standing_timed"`
 }
 
-// rolloutStatus returns what this gateway knows of each move.
+// rolloutStatus returns the status of each rollout.
 func (s *State) rolloutStatus(now time.Time) []RolloutStatus {
 	var list []RolloutStatus
 	for _, each := range s.core.Rollouts(now) {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -13,8 +13,8 @@
 	"github.com/harriernotch/harriernotch/internal/eventlog"
 )
 
-// State joins the view and the dispatch core and guards both. Its methods are
-// short and do no I/O, so that one lock serves.
+// State combines the view of back ends and configuration with the dispatch core, and guards
+// both with one lock. Its methods are short and do no I/O.
 type State struct {
 	log   *eventlog.Log
 	clock *clock.Clock
@@ -22,52 +22,51 @@
 	mutex sync.Mutex
 	view  *catalog.View
 	core  *dispatch.Core
-	// listed is set once all back ends are known: from the store, or bucket by bucket as
-	// peers know them that have a list. heard are these buckets.
+	// listed is set once all back ends are known, either from the store or, bucket by bucket,
+	// from peers that have a complete list. syncedBuckets are the buckets known from peers.
 	listed        bool
 	syncedBuckets catalog.Buckets
 	draining      bool
-	// surveyed is set once it is known which zones are evacuated.
+	// knowsEvacuations is set once it is known which zones are evacuated.
 	knowsEvacuations bool
-	// recalled is set once it is known which zones were restored of late.
+	// knowsRestorations is set once it is known which zones were recently restored.
 	knowsRestorations bool
-	// knowsRollouts is set once it is known which services are moved to another version.
+	// knowsRollouts is set once it is known which services are being rolled out.
 	knowsRollouts bool
-	// eraChanged is closed and replaced whenever the store begins a new era.
+	// eraChanged is closed and replaced when a new era of the store begins.
 	eraChanged chan struct{}
-	// startedAt is when the gateway started, and wasReady is set once it was ready for the
-	// first time.
+	// startedAt is when the gateway started. wasReady is set once it has been ready.
 	startedAt time.Time
 	wasReady  bool
-	// document is the configuration encoded for peers, of documentVersion.
+	// document is the configuration with the version documentVersion, encoded for peers.
 	document        []byte
 	documentVersion uint64
-	// storeAt is when the store last answered.
+	// storeAnsweredAt is when the store last answered this gateway.
 	storeAnsweredAt time.Time
-	// place is this gateway's in the fleet, and dutyChanged is closed and replaced
-	// whenever its duty changes.
+	// place is this gateway's position in the fleet. dutyChanged is closed and replaced when
+	// its duty changes.
 	place       Place
 	dutyChanged chan struct{}
-	// frozen keeps the first configuration in force; only checks of checks set it.
+	// configurationFrozen keeps the first configuration; see FreezeConfiguration.
 	configurationFrozen bool
-	// lag is how late this process runs what is due.
+	// lag is how late this process runs due work; sustainedLag leaves single pauses out.
 	lag, sustainedLag time.Duration
-	// changed is closed and replaced whenever the view changes.
+	// changed is closed and replaced when there is something new for peers.
 	changed chan struct{}
-	// unreadable are the store's objects that couldn't be used when they were read last.
+	// unreadable holds the store's objects that could not be used when last read.
 	unreadable unreadable
-	// words is the number of lives of back ends that peers were woken for.
+	// announcedIncarnations is the number of incarnation updates announced to peers.
 	announcedIncarnations uint64
-	// crashChanges is the number of changes of crashes that peers were woken for.
+	// announcedCrashChanges is the number of crash updates announced to peers.
 	announcedCrashChanges uint64
-	// unrecorded are contents that this gateway saw become withheld, or be released, and that
-	// the store doesn't know of yet; recordable is signalled with each.
+	// unrecorded are changes of withheld requests that this gateway observed and that are not
+	// in the store yet. unrecordedReady is signalled with each.
 	unrecorded      []dispatch.WithheldChange
 	unrecordedReady chan struct{}
 }
 
-// NewState returns a state that knows nothing yet. Zones count as not evacuated until
-// AwaitEvacuations is called.
+// NewState returns an empty state. Zones count as not evacuated unless AwaitEvacuations is
+// called.
 func NewState(core *dispatch.Core, log *eventlog.Log) *State {
 	return &State{
 		log: log, view: catalog.NewView(), core: core, changed: make(chan struct{}), startedAt: time.Now(),
@@ -77,57 +76,59 @@
 	}
 }
 
-// UseClock sets the clock by which ages are told; without it that is the monotonic one. It must
-// be called before anything else.
+// UseClock sets the clock by which ages are measured; the default is the monotonic clock. It
+// must be called before any other method.
 func (s *State) UseClock(clock *clock.Clock) {
 	s.clock = clock
 	s.startedAt = clock.Now()
 }
 
-// Clock returns the clock by which ages are told.
+// Clock returns the clock by which ages are measured.
 func (s *State) Clock() *clock.Clock { return s.clock }
 
-// HasWarmUps tells whether the back ends of any service warm up.
+// HasWarmUps reports whether the back ends of any service need a warm-up.
 func (s *State) HasWarmUps() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.core.HasWarmUps()
 }
 
-// Freeze keeps the first configuration in force, to show that checks notice.
+// FreezeConfiguration makes the state ignore all configurations after the first. It is for tests
+// which verify that the checks detect this.
 func (s *State) FreezeConfiguration() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.configurationFrozen = true
 }
 
-// IgnoreEras passes over the eras of the store, to show that checks notice.
+// IgnoreEras makes the state ignore the eras of the store. It is for tests which verify that the
+// checks detect this.
 func (s *State) IgnoreEras() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.view.IgnoreEras()
 }
 
-// Index returns the configuration in force, or nil.
+// Index returns the current configuration, or nil.
 func (s *State) Index() *catalog.Index {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.view.Index()
 }
 
-// Ready tells whether the gateway knows enough to serve, and isn't draining.
+// Ready reports whether the gateway knows enough to serve and isn't draining.
 func (s *State) Ready() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.canServe() && !s.draining
 }
 
-// startPatience is how long after its start a gateway lets callers wait until it is ready: as
-// a rule it is within 150 ms, sooner than a caller who is refused comes back. Until then
-// balancers send some callers to each gateway where most of a zone have just started.
+// startupWait is how long after its start a gateway lets callers wait until it is ready. It
+// usually is ready within 150 ms, sooner than a refused caller comes back. Where most gateways
+// of a zone have just started, load balancers send callers to each of them before it is ready.
 const startupWait = 250 * time.Millisecond
 
-// AwaitReady returns once the gateway is ready, or isn't about to be.
+// AwaitReady returns once the gateway is ready, or when startupWait has passed.
 func (s *State) AwaitReady(ctx context.Context) {
 	for {
 		s.mutex.Lock()
@@ -149,24 +150,24 @@
 	}
 }
 
-// complete tells whether the gateway knows enough to serve.
+// canServe reports whether the gateway knows enough to serve.
 func (s *State) canServe() bool { return s.view.Index() != nil && s.listed && s.knowsOrders() }
 
-// Draining tells whether the gateway is about to stop.
+// Draining reports whether the gateway is about to stop.
 func (s *State) Draining() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.draining
 }
 
-// Drain makes the gateway unready.
+// Drain marks the gateway as draining, so that it is no longer ready.
 func (s *State) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.draining = true
 }
 
-// OfferConfiguration takes a document from the store or a peer.
+// OfferConfiguration adopts a configuration from the store or a peer if it is valid and newer.
 func (s *State) OfferConfiguration(configuration *catalog.Configuration, source string) {
 	if err := configuration.Check(); err != nil {
 		s.log.Urgent(eventlog.Misconfigured, logrus.Fields{"version": configuration.Version, "source": source, "cause": err.Error()})
@@ -189,7 +190,7 @@
 	})
 }
 
-// OfferList takes a complete list of back ends.
+// OfferList merges a complete list of back ends.
 func (s *State) OfferList(entries []catalog.Entry, at catalog.Position, source string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -197,7 +198,7 @@
 	s.applyEntries(s.view.OfferList(entries, at), source)
 }
 
-// OfferEntries takes changes of back ends.
+// OfferEntries merges changes of back ends.
 func (s *State) OfferEntries(entries []catalog.Entry, source string) {
 	if len(entries) == 0 {
 		return
@@ -207,8 +208,8 @@
 	s.applyEntries(s.view.OfferEntries(entries), source)
 }
 
-// OfferBuckets takes the answer of a peer with a list: all that this gateway lacked of some
-// buckets.
+// OfferBuckets merges the reply of a peer that has a complete list: all entries that this
+// gateway lacked in some buckets.
 func (s *State) OfferBuckets(buckets catalog.Buckets, entries []catalog.Entry) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -216,7 +217,8 @@
 	s.markSynced(buckets)
 }
 
-// hear notes buckets of which all back ends are known that a peer with a list knows.
+// markSynced records buckets of which this gateway knows everything that a peer with a
+// complete list knows.
 func (s *State) markSynced(buckets catalog.Buckets) {
 	s.syncedBuckets |= buckets
 	if !s.listed && s.syncedBuckets == catalog.AllBuckets {
@@ -225,7 +227,7 @@
 	}
 }
 
-// Sources of news, for logs.
+// Sources of changes, for logs.
 const (
 	SourceStore = "store"
 	SourcePeer  = "peer"
@@ -256,14 +258,14 @@
 	s.changed = make(chan struct{})
 }
 
-// Version returns the configuration's version in force, or 0.
+// Version returns the version of the current configuration, or 0.
 func (s *State) Version() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.view.Version()
 }
 
-// SetFleet notes this gateway's place among the others, and which are known.
+// SetFleet sets this gateway's place in the fleet and the gateways that are known.
 func (s *State) SetFleet(place Place, known dispatch.Fleet) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -276,28 +278,28 @@
 	s.core.SetFleet(s.clock.Now(), known)
 }
 
-// Place returns what SetFleet noted.
+// Place returns the place that was set by SetFleet.
 func (s *State) Place() Place {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.place
 }
 
-// DutyChanged returns a channel that is closed once this gateway's duty changes.
+// DutyChanged returns a channel that is closed when this gateway's duty changes.
 func (s *State) DutyChanged() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.dutyChanged
 }
 
-// StoreAnswered notes an answer of the store.
+// StoreAnswered records that the store answered this gateway.
 func (s *State) StoreAnswered() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.storeAnsweredAt = s.clock.Now()
 }
 
-// decide runs a step of the core.
+// decide runs a step of the core under the lock, and then logs and announces its effects.
 func (s *State) decide(step func(now time.Time, core *dispatch.Core) dispatch.Decision) dispatch.Decision {
 	s.mutex.Lock()
 	decision := step(s.clock.Now(), s.core)
@@ -314,8 +316,8 @@
 	return decision
 }
 
-// SetLag notes how late this process runs what is due, at the worst of late and
-// lastingly.
+// SetLag sets how late this process runs due work: lag is the recent maximum, and sustained
+// the delay that persists; see LagMeter.
 func (s *State) SetLag(lag, sustained time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -324,29 +326,29 @@
 	s.core.SetLag(lag)
 }
 
-// HasTime tells whether this process has time for one more request.
+// ShouldAdmit reports whether this process has enough CPU time for one more request.
 func (s *State) ShouldAdmit(urgency int, id string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return dispatch.ShouldAdmit(s.sustainedLag, urgency, id)
 }
 
-// Lag returns the worst delay that SetLag noted.
+// Lag returns the recent maximum that was set by SetLag.
 func (s *State) Lag() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.lag
 }
 
-// StoreAge returns how long ago the store last answered this gateway; it is long
-// where others read the store for it.
+// StoreAge returns the time since the store last answered this gateway. It is long if other
+// gateways read the store for this one.
 func (s *State) StoreAge() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.storeAge(s.clock.Now())
 }
 
-// longestAge stands for a store that never answered.
+// maxStoreAge is reported for a store that has never answered.
 const maxStoreAge = time.Hour
 
 func (s *State) storeAge(now time.Time) time.Duration {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -1,6 +1,6 @@
 package gateway
 
-// Gauges returns what the gateway knows at the moment, for metrics.
+// Gauges returns the current values of the gateway's gauges.
 func (s *State) Gauges() Gauges {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -19,63 +19,63 @@
 	return gauges
 }
 
-// RoleName is a gateway's role in its status.
+// RoleName is the role of a gateway in its status.
 const RoleName = "gateway"
 
-// Status is a gateway's knowledge for operators.
+// Status is a gateway's state, for operators.
 type Status struct {
 	// Role is RoleName.
 	Role string `json:"role"`
-	// Gateways is the number of live ones, this one included, and Reader tells whether
-	// this one reads the store for others.
+	// Gateways is the number of live gateways, including this one. Reader is true if this one
+	// reads the store for the others.
 	Gateways int  `json:"gateways"`
 	Reader   bool `json:"reader"`
-	// StoreAgeSeconds is the age of the store's last answer to this gateway, and
-	// LoadAgeSeconds that of the oldest loads of others that count.
+	// StoreAgeSeconds is the time since the store last answered this gateway. LoadAgeSeconds is
+	// the age of the oldest loads of other gateways that are still used.
 	StoreAgeSeconds float64 `json:"store_age_seconds"`
 	LoadAgeSeconds  float64 `json:"load_age_seconds"`
-	// Ready and Draining are the gateway's own state.
+	// Ready and Draining are the state of this gateway.
 	Ready    bool `json:"ready"`
 	Draining bool `json:"draining"`
-	// Version is the configuration in force; 0 for none.
+	// Version is the version of the current configuration, or 0 without one.
 	Version uint64 `json:"version"`
-	// Evacuated are the zones whose back ends get nothing new.
+	// Evacuated are the zones whose back ends get no new requests.
 	Evacuated []string `json:"evacuated_zones,omitempty"`
-	// Era is that of the store; 0 where it tells none. Rollouts are the services that are moved
-	// to another version.
+	// Era is the era of the store, or 0 if it reports none. Rollouts are the services that are
+	// being moved to another version.
 	Era      uint64          `json:"store_era,omitempty"`
 	Rollouts []RolloutStatus `json:"rollouts,omitempty"`
-	// Unreadable are objects of the store that can't be used, as they were last read.
+	// Unreadable are the objects of the store that could not be used when last read.
 	Unreadable []UnreadableStatus `json:"unreadable_objects,omitempty"`
-	// Withheld are fingerprints of contents that crash back ends.
+	// Withheld are the fingerprints of request contents that crash back ends.
 	Withheld []string `json:"withheld_requests,omitempty"`
-	// Services are those with back ends, and BackEnds are those in service.
+	// Services are the services with back ends, and BackEnds the back ends in service.
 	Services []ServiceStatus `json:"services"`
 	BackEnds []BackEndStatus `json:"back_ends"`
 }
 
-// ServiceStatus is what a gateway believes of one service.
+// ServiceStatus is a gateway's assessment of one service.
 type ServiceStatus struct {
 	Name string `json:"name"`
-	// RetryBudget is the number of further attempts left to this gateway.
+	// RetryBudget is the number of retries that this gateway has left.
 	RetryBudget float64 `json:"retry_budget"`
 	BackEnds    int     `json:"back_ends"`
 	Unusable    int     `json:"unusable"`
-	// UnderWay counts this gateway's own requests.
+	// InFlight is the number of this gateway's own requests in flight.
 	InFlight int `json:"under_way"`
 }
 
-// BackEndStatus is what a gateway believes of one back end.
+// BackEndStatus is a gateway's assessment of one back end.
 type BackEndStatus struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Leaving bool   `json:"leaving"`
-	// Version is that of its software, where it tells one.
+	// Version is the version of its software, if it reports one.
 	Version string `json:"version,omitempty"`
-	// Evacuated is true while its zone gets nothing new, and WarmsUp while it bears few
-	// requests.
+	// Evacuated is true while its zone gets no new requests. WarmsUp is true while it can
+	// serve only few requests.
 	Evacuated bool    `json:"evacuated,omitempty"`
 	WarmsUp   bool    `json:"warms_up,omitempty"`
 	Health    string  `json:"health"`
@@ -83,7 +83,7 @@
 	Estimate  float64 `json:"estimate"`
 }
 
-// Status returns the state of the moment.
+// Status returns the current status.
 func (s *State) Status() Status {
 	ready := s.Ready()
 	s.mutex.Lock()
--- a/internal/gateway/unreadable.go
+++ b/internal/gateway/unreadable.go
@@ -10,11 +10,11 @@
 	"github.com/harriernotch/harriernotch/internal/eventlog"
 )
 
-// mostUnreadable bounds the objects that are remembered: another writer may make any number.
+// maxUnreadable limits the remembered objects: other writers may create any number.
 const maxUnreadable = 256
 
 // unreadable remembers the store's objects that can't be used, by kind and name, so that each
-// revision is told once.
+// revision is reported once.
 type unreadable struct {
 	objects map[objectName]catalog.Unreadable
 }
@@ -24,7 +24,7 @@
 	name string
 }
 
-// note tells whether the object wasn't noted at this position before.
+// note records the object and reports whether it is new at this position.
 func (u *unreadable) note(object catalog.Unreadable) bool {
 	key := objectName{object.Kind, object.Name}
 	known, exists := u.objects[key]
@@ -38,7 +38,7 @@
 	return true
 }
 
-// UnreadableStatus is an object that can't be used, as operators see it.
+// UnreadableStatus is the status of a store object that can't be used.
 type UnreadableStatus struct {
 	Kind     string `json:"kind"`
 	Name     string `json:"name"`
@@ -58,8 +58,8 @@
 	return list
 }
 
-// NoteUnreadable logs an object of the store that can't be used, each revision once, and tells
-// whether it did.
+// NoteUnreadable logs an object of the store that can't be used, once per revision. It reports
+// whether it logged the object.
 func (s *State) NoteUnreadable(object catalog.Unreadable) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/news.go
+++ b/internal/gateway/update.go
@@ -12,58 +12,54 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// News is what a peer lacks.
+// Update is the state that a peer lacks. Each cursor is the position up to which the peer then
+// knows everything; the peer's next update starts there.
 type Update struct {
-	// Version is the configuration in force.
+	// Version is the version of the current configuration.
 	Version uint64
-	// Digest sums up the back ends that are known, where there is news of them beside
-	// Entries, and Listing is the number to go on from.
+	// Digest summarizes the known back ends. It is set if there are changes that are not among
+	// Entries.
 	Digest       catalog.Digest
 	DigestCursor uint64
-	// Entries are the back ends that changed since, and Change the number to go
-	// on from.
+	// Entries are the back ends that have changed.
 	Entries       []catalog.Entry
 	EntriesCursor uint64
-	// Evacuations are the orders that changed since, and Evacuation the number to go on
-	// from; Surveyed is false while it isn't known which zones are evacuated.
+	// Evacuations are the evacuation orders that have changed. KnowsEvacuations is false while
+	// this gateway doesn't know which zones are evacuated.
 	Evacuations       []catalog.Evacuation
 	EvacuationsCursor uint64
 	KnowsEvacuations  bool
-	// Era is the store's. Rollouts are the orders to move services that changed since, and
-	// Rollout the number to go on from; KnowsRollouts is false while they aren't known.
+	// Era is the era of the store. Rollouts are the rollout orders that have changed.
+	// KnowsRollouts is false while this gateway doesn't know the orders.
 	Era            uint64
 	Rollouts       []catalog.Rollout
 	RolloutsCursor uint64
 	KnowsRollouts  bool
-	// Marks and Tallies are of the services that are being moved.
+	// Marks and Tallies concern the services that are being rolled out.
 	Marks   []rollout.Mark
 	Tallies []rollout.Tally
-	// Displaced are lives of back ends that have ended though they are listed, and Displacement
-	// the number to go on from.
+	// Displaced are incarnations of back ends that have ended although they are still listed.
 	Displaced       []uint32
 	DisplacedCursor uint64
-	// Leaving are lives of back ends whose answers have said that they leave, and Departure the
-	// number to go on from.
+	// Leaving are incarnations of back ends whose answers said that they are leaving.
 	Leaving       []uint32
 	LeavingCursor uint64
-	// Loads are this gateway's requests under way.
+	// Loads are the numbers of requests that this gateway has in flight at each back end.
 	Loads []dispatch.Load
-	// Holdings are prompt parts that back ends hold, and Holding the number to go on
-	// from.
+	// Holdings are prompt parts that back ends have cached.
 	Holdings       []dispatch.Holdings
 	HoldingsCursor uint64
-	// Crashes are records of crashes under requests, and Crash the number to go on from.
+	// Crashes are records of back ends that crashed while running requests.
 	Crashes       []dispatch.CrashRecord
 	CrashesCursor uint64
-	// StoreAge is how long ago the store last answered.
+	// StoreAge is the time since the store last answered this gateway.
 	StoreAge time.Duration
-	// Changed is closed with the next change.
+	// Changed is closed at the next change.
 	Changed <-chan struct{}
 }
 
-// Compare returns the buckets in which a peer that has a list knows other back ends than
-// this gateway. In the others this gateway knows all that the peer does, and counts them as
-// heard.
+// CompareDigest returns the buckets in which a peer that has a complete list knows other back
+// ends than this gateway. The remaining buckets are identical, and are marked as synced.
 func (s *State) CompareDigest(peer catalog.Digest) catalog.Buckets {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -72,15 +68,16 @@
 	return differing
 }
 
-// SumsOf returns the sums of the back ends of the buckets that this gateway knows.
+// ChecksumsOf returns checksums of the known back ends in the buckets.
 func (s *State) ChecksumsOf(buckets catalog.Buckets) catalog.Sums {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.view.SumsOf(buckets)
 }
 
-// Lacked returns the back ends of the buckets that a peer lacks which knows those of the
-// sums; listed is false while this gateway has no list, and can't answer.
+// MissingEntries returns the back ends in the buckets that are missing at a peer that knows
+// those with the given checksums. listed is false while this gateway has no complete list and
+// can't answer.
 func (s *State) MissingEntries(buckets catalog.Buckets, known catalog.Sums) (entries []catalog.Entry, listed bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -90,7 +87,7 @@
 	return s.view.Lacked(buckets, known), true
 }
 
-// Told is what a peer was told: the numbers to go on from.
+// Cursors are the positions up to which a peer has been sent the state.
 type Cursors struct {
 	Digest      uint64
 	Entries     uint64
@@ -102,11 +99,11 @@
 	Leaving     uint64
 }
 
-// mostCrashRecords bounds the records of crashes in one message, at some 25 bytes each.
+// maxCrashRecords limits the crash records in one message; each takes about 25 bytes.
 const maxCrashRecords = 128
 
-// NewsSince returns what a peer lacks that was told so much, at most so many holdings,
-// and the loads of the moment.
+// UpdateSince returns the state that a peer with the given cursors lacks, with at most
+// maxHoldings holdings, and the current loads.
 func (s *State) UpdateSince(cursors Cursors, maxHoldings int) Update {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -132,8 +129,8 @@
 	return update
 }
 
-// tellBackEnds adds to the news the digest, where it tells what the changes don't, and the
-// changes since; the first digest tells all changes before it.
+// addBackEnds adds the changed back ends to the update, and the digest if it covers more than
+// those changes. The first digest covers all earlier changes.
 func (s *State) addBackEnds(update *Update, cursors Cursors) {
 	update.DigestCursor = 1 + s.view.Unannounced()
 	if cursors.Digest != update.DigestCursor {
@@ -146,8 +143,8 @@
 	update.Entries, update.EntriesCursor = s.view.Since(cursors.Entries)
 }
 
-// Document returns the configuration in force, encoded for peers, or nil. It is
-// encoded once a version, and only when a peer asks.
+// Document returns the current configuration encoded for peers, or nil. It is encoded once per
+// version, when a peer first asks for it.
 func (s *State) Document() []byte {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -165,28 +162,29 @@
 	return s.document
 }
 
-// Counts returns what this gateway has at back ends, for a collector.
+// Counts returns this gateway's request counts at back ends, for a collector.
 func (s *State) Counts() []dispatch.Count {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.core.Counts(s.clock.Now())
 }
 
-// TakeTotals takes the counts of all gateways.
+// ApplyTotals sets the request counts of all gateways together. own are the counts of this
+// gateway that are included in them.
 func (s *State) ApplyTotals(own []dispatch.Count, totals dispatch.Totals) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.core.ApplyTotals(s.clock.Now(), own, totals)
 }
 
-// PeerLoads takes a peer's loads.
+// SetPeerLoads replaces the loads of a peer.
 func (s *State) SetPeerLoads(peer string, loads []dispatch.Load) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.core.SetPeerLoads(s.clock.Now(), peer, loads)
 }
 
-// TakeCrashes takes what a peer, or the store, tells of crashes under requests.
+// MergeCrashes merges crash records of a peer or the store.
 func (s *State) MergeCrashes(records []dispatch.CrashRecord) {
 	if len(records) == 0 {
 		return
@@ -197,7 +195,7 @@
 	s.announceCrashes()
 }
 
-// TakeDisplaced takes lives of back ends that a peer knows to have ended.
+// MergeDisplaced merges incarnations of back ends that a peer knows to have ended.
 func (s *State) MergeDisplaced(incarnations []uint32) {
 	if len(incarnations) == 0 {
 		return
@@ -209,7 +207,7 @@
 	}
 }
 
-// TakeLeaving takes lives of back ends that a peer knows to be leaving.
+// MergeLeaving merges incarnations of back ends that a peer knows to be leaving.
 func (s *State) MergeLeaving(incarnations []uint32) {
 	if len(incarnations) == 0 {
 		return
@@ -225,7 +223,8 @@
 	}
 }
 
-// tellWords wakes who tells peers of lives of back ends that have ended or are leaving.
+// announceIncarnations announces to peers that further incarnations are known to have ended or
+// to be leaving.
 func (s *State) announceIncarnations() {
 	if now := s.core.IncarnationUpdates(); now != s.announcedIncarnations {
 		s.announcedIncarnations = now
@@ -233,7 +232,7 @@
 	}
 }
 
-// PeerHoldings takes prompt parts that a peer knows back ends to hold.
+// MergePeerHoldings merges prompt parts that a peer knows to be cached at back ends.
 func (s *State) MergePeerHoldings(holdings []dispatch.Holdings) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/withheld.go
+++ b/internal/gateway/withheld.go
@@ -7,11 +7,11 @@
 	"github.com/harriernotch/harriernotch/internal/eventlog"
 )
 
-// mostUnrecorded bounds the changes that wait for the store.
+// maxUnrecorded limits the changes that wait to be written to the store.
 const maxUnrecorded = 256
 
-// tellCrashes wakes who tells peers of crashes, logs which requests are withheld, and lets
-// the store be told.
+// announceCrashes announces new crash records to peers, logs which requests are withheld or
+// released, and queues this gateway's own findings for the store.
 func (s *State) announceCrashes() {
 	if now := s.core.CrashChanges(); now != s.announcedCrashChanges {
 		s.announcedCrashChanges = now
@@ -32,8 +32,8 @@
 	}
 }
 
-// record keeps a change until the store has it. Where too many wait, the oldest is given up:
-// peers know it all the same.
+// queueUnrecorded keeps a change until it is in the store. If too many wait, the oldest is
+// dropped; peers know it nevertheless.
 func (s *State) queueUnrecorded(change dispatch.WithheldChange) {
 	if len(s.unrecorded) >= maxUnrecorded {
 		s.log.Urgent(eventlog.RecordGivenUp, logrus.Fields{"fingerprint": s.unrecorded[0].Record.Fingerprint.String()})
@@ -46,8 +46,8 @@
 	}
 }
 
-// ReleaseWithheld releases the requests of a content at an operator's word, here and at all
-// peers, and tells whether they were withheld.
+// ReleaseWithheld releases withheld requests with this content on an operator's command, here
+// and at all peers. It reports whether they were withheld.
 func (s *State) ReleaseWithheld(fingerprint dispatch.Fingerprint) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -56,10 +56,10 @@
 	return released
 }
 
-// Recordable returns a channel that is signalled when TakeUnrecorded has something.
+// UnrecordedReady returns a channel that is signalled when TakeUnrecorded has changes.
 func (s *State) UnrecordedReady() <-chan struct{} { return s.unrecordedReady }
 
-// TakeUnrecorded returns the changes that the store must be told of, once.
+// TakeUnrecorded removes and returns the changes that must be written to the store.
 func (s *State) TakeUnrecorded() []dispatch.WithheldChange {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -17,7 +17,7 @@
 			retries++
 		}
 	}
-	is.Equal(retries, 10+249) // what was saved up, and a quarter of the requests
+	is.Equal(retries, 10+249) // the initial budget, and one retry for every four requests
 }
 
 func TestRouterEnforcesItsShareOfTenantLimit(t *testing.T) {
@@ -27,16 +27,16 @@
 	limiter.SetRouters(start, 4)
 	limiter.Configure(start, map[string]Limit{"t": {PerSecond: 40, Burst: 40}})
 	allowed := 0
-	for i := range 1000 { // 100 a second for ten seconds at one of four routers
+	for i := range 1000 { // 100 requests/s for 10 s at one of four routers
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 		ok, wait := limiter.Allow(now, "t")
 		if ok {
 			allowed++
 		} else {
-			is.True(wait > 0 && wait <= 100*time.Millisecond) // when the next token comes
+			is.True(wait > 0 && wait <= 100*time.Millisecond) // until the next token
 		}
 		unlimited, _ := limiter.Allow(now, "unlimited")
 		is.True(unlimited)
 	}
-	is.True(allowed >= 109 && allowed <= 111) // 10 a second and a burst of 10
+	is.True(allowed >= 109 && allowed <= 111) // 10 requests/s and a burst of 10
 }
--- a/internal/limits/window_test.go
+++ b/internal/limits/retryshare_test.go
@@ -9,8 +9,8 @@
 	_ "github.com/harriernotch/harriernotch/internal/fixedseed"
 )
 
-// However requests fall on the gateways, all together stay within the allowance
-// of any window.
+// However requests are distributed over the gateways, their retries together stay
+// within the budget.
 func TestRetriesOfAllGatewaysStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, extra = 0.2, 56
@@ -29,7 +29,7 @@
 			}
 		}
 		if float64(retries) > ratio*float64(requests)+extra {
-			t.Fatalf("%d further attempts for %d requests", retries, requests)
+			t.Fatalf("%d retries for %d requests", retries, requests)
 		}
 	})
 }
@@ -39,5 +39,5 @@
 	budget := NewRetryBudgetShare(0.2, 50, 1)
 	is.True(budget.Tokens() > 20)
 	budget.SetGateways(10)
-	is.True(budget.Tokens() <= 5) // what was saved up as the only one is gone
+	is.True(budget.Tokens() <= 5) // tokens accumulated as the only gateway are lost
 }
--- a/internal/limits/tenant.go
+++ b/internal/limits/tenant.go
@@ -6,35 +6,35 @@
 	"golang.org/x/time/rate"
 )
 
-// minShareBurst lets a router with a tiny share still take a few requests that
-// the balancer happens to send it together.
+// minShareBurst lets a router with a tiny share still accept a few requests that
+// the load balancer happens to send it at once.
 const minShareBurst = 4
 
-// Limit is a tenant's limit across the fleet.
+// Limit is a tenant's rate limit across the fleet.
 type Limit struct {
-	// PerSecond is the rate in requests a second; 0 sets no limit.
+	// PerSecond is the rate in requests per second; 0 means no limit.
 	PerSecond float64
-	// Burst is how many requests may come at once above the rate.
+	// Burst is the number of requests above the rate that may arrive at once.
 	Burst float64
 }
 
-// TenantLimiter holds a router's shares of the tenants' limits. The share is
-// the limit divided by the number of live routers: the balancer spreads callers
-// evenly, so no message is needed. The fair queue at the gates guards the other
-// tenants where the balancer is uneven.
+// TenantLimiter enforces one router's share of each tenant's limit. The share is
+// the limit divided by the number of live routers: the load balancer spreads
+// callers evenly, so routers need not exchange messages. Where the balancer is
+// uneven, the fair queue at the agents' gates protects the other tenants.
 type TenantLimiter struct {
 	routers  int
 	limits   map[string]Limit
 	limiters map[string]*rate.Limiter
 }
 
-// NewTenantLimiter returns a limiter for one router without any limit.
+// NewTenantLimiter returns a limiter for a fleet of one router, with no limits.
 func NewTenantLimiter() *TenantLimiter {
 	return &TenantLimiter{routers: 1, limits: map[string]Limit{}, limiters: map[string]*rate.Limiter{}}
 }
 
-// Configure replaces the limits. A tenant whose share didn't change keeps the
-// tokens it has.
+// Configure replaces the limits. A tenant whose share didn't change keeps its
+// remaining tokens.
 func (l *TenantLimiter) Configure(now time.Time, limits map[string]Limit) {
 	l.limits = limits
 	for tenant := range l.limiters {
@@ -45,7 +45,7 @@
 	l.applyShares(now)
 }
 
-// SetRouters notes the number of live routers, this one included.
+// SetRouters sets the number of live routers, including this one.
 func (l *TenantLimiter) SetRouters(now time.Time, routers int) {
 	if routers < 1 || routers == l.routers {
 		return
@@ -68,8 +68,8 @@
 	return rate.Limit(limit.PerSecond / float64(l.routers)), burst
 }
 
-// Allow takes one request from the tenant's share. When the share is spent, it
-// returns false and the time until one more is there.
+// Allow takes one request from the tenant's share. If the share is used up, it
+// returns false and the time until the next request is allowed.
 func (l *TenantLimiter) Allow(now time.Time, tenant string) (ok bool, wait time.Duration) {
 	if l.limits[tenant].PerSecond <= 0 {
 		return true, 0
--- a/internal/routing/rendezvous.go
+++ b/internal/routing/rendezvous.go
@@ -1,5 +1,5 @@
-// Package routing decides which back end gets a request: rendezvous hashing,
-// the chat token, and the choice of the next back end after a refusal.
+// Package routing decides which back end gets a request, by rendezvous hashing and
+// the chat token, and which one is tried next after a refusal.
 //
 // The package does no I/O and reads no clock.
 package routing
@@ -12,8 +12,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Weight is the rendezvous weight of a member for a key, from xxhash sums of both. They
-// are mixed by hashing them together, so one pass over the key serves all members.
+// Weight returns the rendezvous weight of a member for a key, from the xxhash sums
+// of both. Hashing the two sums together means that the key is hashed only once for
+// all members.
 func Weight(keyHash, memberHash uint64) uint64 {
 	var pair [16]byte
 	binary.LittleEndian.PutUint64(pair[:8], keyHash)
@@ -21,8 +22,8 @@
 	return xxhash.Sum64(pair[:])
 }
 
-// Owner returns the member with the highest rendezvous weight for the key, or
-// "" when there is no member. Equal weights go to the smaller name.
+// Owner returns the member with the highest rendezvous weight for the key, or "" if
+// there are no members. Ties go to the smaller name.
 func Owner(key string, members []string) string {
 	keyHash := xxhash.Sum64String(key)
 	owner := ""
@@ -36,8 +37,8 @@
 	return owner
 }
 
-// Rank returns the members by falling rendezvous weight for the key. When a
-// member joins or leaves, the order of the others doesn't change.
+// Rank returns the members by descending rendezvous weight for the key. When a
+// member joins or leaves, the relative order of the others doesn't change.
 func Rank(key string, members []string) []string {
 	type weighted struct {
 		member string
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -7,39 +7,39 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// Health is what a router believes about a back end.
+// Health is a router's assessment of a back end.
 type Health uint8
 
 // The values of Health, from best to worst.
 const (
-	// HealthAlive may be tried in the usual order.
+	// HealthAlive back ends are tried in the usual order.
 	HealthAlive Health = iota
-	// HealthFlapping is there but was lost several times of late: it isn't
-	// given a chat to cache while a steadier member has room.
+	// HealthFlapping back ends are reachable but were lost several times recently. They
+	// get a new chat to cache only if no alive member has room.
 	HealthFlapping
-	// HealthDoubtful is silent or unreachable: tried last.
+	// HealthDoubtful back ends are silent or unreachable and are tried last.
 	HealthDoubtful
-	// HealthLeaving takes no new work and isn't tried.
+	// HealthLeaving back ends accept no new work and are not tried.
 	HealthLeaving
 )
 
 // Member is a router's view of one back end at one moment.
 type Member struct {
-	// ID is the back end.
+	// ID is the back end's ID.
 	ID string
-	// Health is what the router believes about it.
+	// Health is the router's assessment of it.
 	Health Health
-	// Incarnation is its agent's incarnation; 0 when unknown.
+	// Incarnation is its agent's incarnation, or 0 if unknown.
 	Incarnation uint32
-	// Load is the last heard load in requests, and LoadAge its age.
+	// Load is the last reported load in requests.
 	Load int
-	// LoadAge is the age of Load; LoadKnown is false when none was heard.
+	// LoadAge is the age of Load. LoadKnown is false if no load was reported.
 	LoadAge   time.Duration
 	LoadKnown bool
 }
 
-// Policy decides the order in which a pool's back ends are tried. The product
-// uses PolicyTokenThenHash; the others are baselines for measurement.
+// Policy decides the order in which a pool's back ends are tried. Routers use
+// PolicyTokenThenHash; the others are baselines for measurements.
 type Policy uint8
 
 // The policies.
@@ -55,9 +55,9 @@
 	PolicyTwoChoices
 )
 
-// Request is what the choice of a back end depends on.
+// Request holds what the choice of a back end depends on.
 type Request struct {
-	// ChatKey spreads chats over the pool; it stays the same for a chat.
+	// ChatKey is the hash key that spreads chats over the pool. It is constant for a chat.
 	ChatKey string
 	// Token is the caller's chat token, or nil.
 	Token *ChatToken
@@ -65,40 +65,40 @@
 	Owner string
 }
 
-// LoadMet is the load that a refusing back end reported: evidence of the pool's
-// load that travels with the next attempt.
+// ReportedLoad is the load that a back end reported when it refused the request. It
+// is sent along with the next attempt as evidence of the pool's load.
 type ReportedLoad struct {
-	// BackEnd refused the request.
+	// BackEnd is the back end that refused the request.
 	BackEnd string `cbor:"1,keyasint"`
 	// Load is its load in requests.
 	Load int `cbor:"2,keyasint"`
-	// AgeMillis is how long ago it refused, when the next attempt is sent.
+	// AgeMillis is the time from the refusal until the next attempt is sent.
 	AgeMillis int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Refusal is an agent's "not run".
+// Refusal is an agent's reply that it did not run the request.
 type Refusal struct {
-	// Kind says why.
+	// Kind is the reason.
 	Kind failure.Kind
-	// RetryAfter is when this back end may have room again; 0 when unknown.
+	// RetryAfter is the time until this back end may have room; 0 if unknown.
 	RetryAfter time.Duration
 	// Load is the back end's load.
 	Load int
 }
 
-// Attempt says where to send the request next.
+// Attempt is the next attempt to make.
 type Attempt struct {
 	// BackEnd is the target.
 	BackEnd string
-	// Affine is true when the target is believed to hold the chat's context,
-	// or owns the request's key.
+	// Affine is true if the target is expected to hold the chat's context, or owns the
+	// request's idempotency key.
 	Affine bool
-	// LoadsMet is the evidence gathered so far.
+	// ReportedLoads are the loads reported by earlier refusals.
 	ReportedLoads []ReportedLoad
 }
 
-// Route is the routing state of one request. It gives one attempt at a time, and
-// no back end twice but for one second look; see Next.
+// Route is the routing state of one request. It returns one attempt at a time. Each
+// back end is tried once, except that the least loaded one may be retried; see Next.
 type Route struct {
 	request       Request
 	order         []Member
@@ -106,17 +106,17 @@
 	reportedLoads []ReportedLoad
 	reportedAt    []time.Time
 	refusals      []Refusal
-	// lookedAgain is set once a member got its second attempt.
+	// retriedLeastLoaded is set once a member got a second attempt.
 	retriedLeastLoaded bool
 }
 
-// RandomSource is the part of math/rand/v2 that the baselines need.
+// RandomSource is the part of math/rand/v2.Rand that the baseline policies need.
 type RandomSource interface {
 	IntN(n int) int
 }
 
-// NewRoute orders the pool for a request. random is used by the random
-// policies alone and may be nil otherwise.
+// NewRoute orders the pool for a request. Only the random policies use random; it
+// may be nil for the others.
 func NewRoute(request Request, members []Member, policy Policy, random RandomSource) *Route {
 	route := &Route{request: request}
 	if request.Owner != "" {
@@ -177,8 +177,9 @@
 	return list
 }
 
-// tokenFirst moves the token's engine to the front, unless its agent is known to
-// have restarted since: its context is gone then, and the hash spreads better.
+// tokenFirst moves the token's engine to the front. If that engine's agent is known
+// to have restarted since, its context is lost, and the order stays as it is: the
+// hash spreads chats more evenly.
 func tokenFirst(token *ChatToken, list []Member) []Member {
 	if token == nil {
 		return list
@@ -197,8 +198,8 @@
 	return list
 }
 
-// byHealth keeps the order within each degree of health and drops leaving
-// members.
+// byHealth sorts the members by health, keeping the order of those with equal
+// health, and drops members that are leaving.
 func byHealth(list []Member) []Member {
 	ordered := make([]Member, 0, len(list))
 	for _, health := range []Health{HealthAlive, HealthFlapping, HealthDoubtful} {
@@ -211,19 +212,19 @@
 	return ordered
 }
 
-// freshLoad is the age to which a heard load may reorder the later attempts.
+// maxLoadAge is the largest age at which a reported load may reorder later attempts.
 const maxLoadAge = 2 * time.Second
 
-// Next returns the next attempt; ok is false when every member was tried.
+// Next returns the next attempt; ok is false if there is none.
 //
-// The first attempt follows the policy alone, since a wrong guess about load
-// would cost the chat its context. Later attempts have no context to win, so
+// The first attempt follows the policy alone, because a wrong guess about load
+// would cost the chat its context. Later attempts can't preserve the context, so
 // after the first refusal they go to members that are believed to have room.
 //
-// When all have refused or can't be reached, the least loaded one that was met is
-// asked once more. It
-// may have refused since it knew too little of the others to be sure of the
-// bound; now the request brings what all the others carry.
+// When all members have refused or are unreachable, the least loaded of those that
+// refused is tried once more. It may have refused only because it knew too little
+// of the other loads to be sure of its bound; this time the request carries the
+// loads of the others.
 func (r *Route) Next(now time.Time) (attempt Attempt, ok bool) {
 	if r.tried >= len(r.order) {
 		return r.retryLeastLoaded(now)
@@ -255,8 +256,8 @@
 	return Attempt{BackEnd: r.reportedLoads[least].BackEnd, ReportedLoads: slices.Delete(evidence, least, least+1)}, true
 }
 
-// evidence returns the loads met with their ages. The process may have been
-// paused since.
+// loadEvidence returns the reported loads with their current ages, which may be long
+// if the process was paused in between.
 func (r *Route) loadEvidence(now time.Time) []ReportedLoad {
 	if len(r.reportedLoads) == 0 {
 		return nil
@@ -279,15 +280,15 @@
 	return member.Incarnation == 0 || member.Incarnation == token.Incarnation
 }
 
-// crowdedAttempts is the number of refusals after which the least loaded member
-// is tried next instead of the next in rendezvous order.
+// refusalsUntilLeastLoaded is the number of refusals after which the least loaded
+// member is tried next, instead of the next one in rendezvous order.
 const refusalsUntilLeastLoaded = 2
 
-// preferRoom brings the best remaining member to the position to be tried next.
+// promoteBest moves the best remaining member to the next position.
 func (r *Route) promoteBest() {
 	threshold := r.meanReportedLoad()
 	best := r.tried
-	// A flapping member that has room is better than a full steady one.
+	// A flapping member that has room is better than a full alive one.
 	for i := r.tried; i < len(r.order); i++ {
 		if r.order[i].Health == HealthDoubtful && r.order[r.tried].Health != HealthDoubtful {
 			break
@@ -329,7 +330,7 @@
 	return aKnown && a.Load < b.Load
 }
 
-// Refused notes a refusal of the latest attempt.
+// Refused records a refusal of the last attempt.
 func (r *Route) Refused(now time.Time, backEnd string, refusal Refusal) {
 	r.refusals = append(r.refusals, refusal)
 	if refusal.Kind == failure.OverBound || refusal.Kind == failure.QueueFull {
@@ -338,7 +339,7 @@
 	}
 }
 
-// Attempts returns how many attempts were given.
+// Attempts returns the number of attempts returned so far.
 func (r *Route) Attempts() int {
 	if r.retriedLeastLoaded {
 		return r.tried + 1
@@ -346,13 +347,13 @@
 	return r.tried
 }
 
-// IsExhausted tells whether Next has no attempt left, whatever comes of the
-// latest.
+// IsExhausted reports whether Next will return no further attempt, regardless of
+// the outcome of the last one.
 func (r *Route) IsExhausted() bool { return r.retriedLeastLoaded }
 
-// GiveUp returns the final answer of a request that no back end took. A sole
-// refusal is passed on; otherwise the answer is PoolExhausted, with the
-// shortest time after which a back end may have room.
+// GiveUp returns the final error for a request that no back end accepted. A single
+// refusal is passed on; otherwise the error is PoolExhausted, with the shortest
+// time after which a back end may have room.
 func (r *Route) GiveUp() *failure.Error {
 	if r.request.Owner != "" && len(r.refusals) == 0 {
 		return failure.New(failure.OwnerAway, "the back end that owns this key can't be reached; this attempt was not run")
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -43,7 +43,7 @@
 			t.Fatalf("without %s: %v, want %v", removed, got, want)
 		}
 		if Owner(key, all) != Rank(key, all)[0] {
-			t.Fatal("the owner is not the first in rank")
+			t.Fatal("the owner is not ranked first")
 		}
 	})
 }
@@ -86,7 +86,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		token, err := sealer.Open("school", text)
 		if err == nil && sealer.Seal("school", token) != text {
-			t.Fatal("a token was taken that the sealer didn't make")
+			t.Fatal("Open accepted a token that Seal didn't create")
 		}
 	})
 }
@@ -154,7 +154,7 @@
 	first, _ := route.Next(start)
 	route.Refused(start, first.BackEnd, Refusal{Kind: failure.OverBound, Load: 10})
 	second, _ := route.Next(start)
-	is.Equal(second.BackEnd, ranked[5]) // the only one below the load met
+	is.Equal(second.BackEnd, ranked[5]) // the only one below the reported load
 	is.Equal(second.ReportedLoads, []ReportedLoad{{BackEnd: ranked[0], Load: 10}})
 }
 
--- a/internal/routing/token.go
+++ b/internal/routing/token.go
@@ -10,20 +10,21 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// ChatToken tells where a chat's context lies. The caller returns it with the
-// chat's next turn, so that any router finds the engine with no state and no
-// message. It is a hint: a wrong one costs a rebuilt context, nothing else.
+// ChatToken says which engine holds a chat's context. The caller returns it with
+// the chat's next turn, so that any router finds the engine without shared state or
+// messages. It is only a hint: a wrong token costs rebuilding the context, nothing
+// else.
 type ChatToken struct {
 	// Chat identifies the chat.
 	Chat string `cbor:"1,keyasint"`
 	// Engine is the back end that served the last turn.
 	Engine string `cbor:"2,keyasint"`
-	// Incarnation is that engine's agent's incarnation; the context is lost
-	// once it differs.
+	// Incarnation is the incarnation of that engine's agent. The context is lost once
+	// it differs.
 	Incarnation uint32 `cbor:"3,keyasint"`
-	// IssuedAt is the router's clock in Unix seconds.
+	// IssuedAt is the router's time in seconds since 1970.
 	IssuedAt int64 `cbor:"4,keyasint"`
-	// ContextTokens is the length of the context served, in model tokens.
+	// ContextTokens is the length of the served context, in model tokens.
 	ContextTokens int `cbor:"5,keyasint"`
 }
 
@@ -34,28 +35,28 @@
 	tokenDomain    = "harriernotch chat token v1\n"
 )
 
-// TokenSealer makes and opens chat tokens with the cluster key.
+// TokenSealer seals and opens chat tokens with the cluster key.
 type TokenSealer struct {
 	key []byte
 }
 
-// NewTokenSealer returns a sealer; every router must use the same key.
+// NewTokenSealer returns a sealer. All routers must use the same key.
 func NewTokenSealer(clusterKey []byte) *TokenSealer {
 	return &TokenSealer{key: clusterKey}
 }
 
-// Seal returns the opaque form of a token that only the tenant can use.
+// Seal encodes and authenticates a token that only this tenant can use.
 func (s *TokenSealer) Seal(tenant string, token ChatToken) string {
 	body, err := cbor.Marshal(token)
 	if err != nil {
-		// Plain fields of fixed types always encode.
+		// A struct of fixed basic types always encodes.
 		return ""
 	}
 	return base64.RawURLEncoding.EncodeToString(append(s.mac(tenant, body), body...))
 }
 
-// Open checks and returns a token. A token of another tenant, or one altered,
-// is refused.
+// Open verifies and decodes a token. It rejects a token that belongs to another
+// tenant or was altered.
 func (s *TokenSealer) Open(tenant, text string) (ChatToken, error) {
 	invalid := failure.New(failure.InvalidRequest, "the chat token is not valid; send it as it was received, or leave it out")
 	if len(text) > MaxTokenLength {
@@ -76,8 +77,8 @@
 	return token, nil
 }
 
-// mac authenticates the tenant and the body; the tenant's length keeps the two
-// apart.
+// mac authenticates the tenant and the body. The tenant is prefixed with its length
+// so that the boundary between the two is unambiguous.
 func (s *TokenSealer) mac(tenant string, body []byte) []byte {
 	hash := hmac.New(sha256.New, s.key)
 	hash.Write([]byte(tokenDomain))
