--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -133,7 +133,7 @@
 func (c *Core) Control(now time.Time, event coordination.Event) Effects {
 	effects := Effects{Control: c.node.Step(now, event)}
 	for _, action := range effects.Control {
-		if adopted, ok := action.(coordination.Adopt); ok {
+		if adopted, ok := action.(coordination.BundleAdopted); ok {
 			effects.Requests = append(effects.Requests, c.adopt(now, adopted.Bundle)...)
 		}
 	}
@@ -151,9 +151,9 @@
 // chose.
 func (c *Core) Arrive(now time.Time, id admission.RequestID, head hop.Head) Effects {
 	for _, member := range head.Unreachable {
-		c.node.Step(now, coordination.Unreachable{ID: member})
+		c.node.Step(now, coordination.NodeUnreachable{ID: member})
 	}
-	effects := c.Control(now, coordination.RecordsHeard{
+	effects := c.Control(now, coordination.PiggybackedRecords{
 		Records:    head.News.Records,
 		Number:     head.News.Number,
 		ContactAge: time.Duration(head.News.ContactAgeMillis) * time.Millisecond,
@@ -221,7 +221,7 @@
 // isJustAwake tells whether the process was paused and has heard from no peer
 // since: what it knows of the pool's loads and of its own standing is old.
 func (c *Core) isJustAwake() bool {
-	return !c.node.FreshContact()
+	return !c.node.HasFreshContact()
 }
 
 // keyRefusal refuses a keyed request that this agent may not own. Ownership
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -43,7 +43,7 @@
 	open := func(raw []byte) (*bundle.Bundle, error) { return bundle.Open(raw, trusted) }
 	identity := coordination.Identity{ID: "a", Role: membership.RoleAgent, Zone: "z"}
 	core := New(DefaultConfig(identity), open, bundle.NewAcceptor(trusted), now)
-	core.Control(now, coordination.PlatformBundle{Raw: signed(t, 1, false), Version: 1, AskedAt: now})
+	core.Control(now, coordination.PlatformBundle{Raw: signed(t, 1, false), Version: 1, RequestedAt: now})
 	return core
 }
 
@@ -83,7 +83,7 @@
 func TestDeadMembersLoadDoesNotHoldDownTheBound(t *testing.T) {
 	is := is.New(t)
 	core := newAgent(t, start)
-	core.Control(start, coordination.RecordsHeard{Records: []membership.Record{{ID: "b", Incarnation: 1, Load: 0}}})
+	core.Control(start, coordination.PiggybackedRecords{Records: []membership.Record{{ID: "b", Incarnation: 1, Load: 0}}})
 	now := start.Add(1500 * time.Millisecond)
 	is.Equal(word(core.Arrive(now, 1, head(now))), "start")
 	is.Equal(word(core.Arrive(now, 2, head(now))), failure.OverBound) // b may be idle, and what is known of it is old
@@ -153,13 +153,13 @@
 			c.Control(start, coordination.MachineList{Machines: []coordination.Machine{{ID: "a", Leaving: true}}})
 		},
 		"bundle": func(c *Core) {
-			c.Control(start, coordination.PlatformBundle{Raw: signed(t, 2, true), Version: 2, AskedAt: start})
+			c.Control(start, coordination.PlatformBundle{Raw: signed(t, 2, true), Version: 2, RequestedAt: start})
 		},
 		"traffic": func(c *Core) {
-			c.Control(start, coordination.RecordsHeard{Records: []membership.Record{{ID: "a", Incarnation: incarnation, State: membership.StateLeaving}}})
+			c.Control(start, coordination.PiggybackedRecords{Records: []membership.Record{{ID: "a", Incarnation: incarnation, State: membership.StateLeaving}}})
 		},
 		"its successor": func(c *Core) {
-			c.Control(start, coordination.RecordsHeard{Records: []membership.Record{{ID: "a", Incarnation: incarnation + 1}}})
+			c.Control(start, coordination.PiggybackedRecords{Records: []membership.Record{{ID: "a", Incarnation: incarnation + 1}}})
 		},
 	}
 	for name, how := range tell {
--- a/internal/agent/observe.go
+++ b/internal/agent/observe.go
@@ -32,23 +32,23 @@
 // load: it counts as idle, which keeps the bound low, until its silence has
 // lasted long enough to mean something.
 func (c *Core) observeMember(now time.Time, pool *bundle.Pool, id string) (load admission.ObservedLoad, counts bool) {
-	awake := c.node.AwakeSince()
+	awake := c.node.RunningSince()
 	settling := now.Sub(awake) <= c.settleTime(pool)
 	table := c.node.Table()
 	entry := table.Entry(id)
 	if entry == nil {
 		return admission.ObservedLoad{Member: id, At: now}, settling
 	}
-	if table.Liveness(now, entry) == membership.Gone {
+	if table.Liveness(now, entry) == membership.Leaving {
 		return admission.ObservedLoad{}, false
 	}
-	if settling && entry.At.Before(awake) {
+	if settling && entry.RecordedAt.Before(awake) {
 		return admission.ObservedLoad{Member: id, At: now}, true
 	}
 	if c.isSilent(now, pool, entry) {
 		return admission.ObservedLoad{}, false
 	}
-	return admission.ObservedLoad{Member: id, Load: int(entry.Load), At: entry.At}, true
+	return admission.ObservedLoad{Member: id, Load: int(entry.Load), At: entry.RecordedAt}, true
 }
 
 // settlePerMember stretches the time that a process takes to learn of its pool.
@@ -65,7 +65,7 @@
 // Nor are both where routers reach hardly any member: then it is the routers
 // that are cut off.
 func (c *Core) isSilent(now time.Time, pool *bundle.Pool, entry *membership.Entry) bool {
-	age := now.Sub(entry.At)
+	age := now.Sub(entry.RecordedAt)
 	if age > c.config.Coordination.Membership.SilentAfter {
 		return true
 	}
--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -71,7 +71,7 @@
 	open := func(raw []byte) (*bundle.Bundle, error) { return bundle.Open(raw, trusted) }
 	identity := Identity{ID: "router-000", Role: membership.RoleRouter, Address: "10.9.0.0:7200", Zone: "z0"}
 	node := NewNode(DefaultConfig(), identity, open, bundle.NewAcceptor(trusted), now)
-	node.Step(now, PlatformBundle{Raw: raw, Version: 1, AskedAt: now})
+	node.Step(now, PlatformBundle{Raw: raw, Version: 1, RequestedAt: now})
 	for id := range size.links {
 		peer := fmt.Sprintf("router-%03d", id+1)
 		if id >= 4 {
--- a/internal/coordination/config.go
+++ b/internal/coordination/config.go
@@ -27,10 +27,10 @@
 	// AgentBeatPerMember stretches the time between two load reports of an
 	// agent by so much for every member of its pool, up to HeartbeatPeriod.
 	// Default 55ms.
-	AgentBeatPerMember time.Duration
+	AgentHeartbeatPerMember time.Duration
 	// RouterBeatPerRouter stretches the time between two records of a router
 	// by so much for every router known. Default 30ms.
-	RouterBeatPerRouter time.Duration
+	RouterHeartbeatPerRouter time.Duration
 	// RecordsPerPeriod bounds the records a node sends in one period over all
 	// its links. Default 48.
 	RecordsPerPeriod int
@@ -38,7 +38,7 @@
 	// platform. Default 2.
 	WatchersPerZone int
 	// WatchWait is how long a watch waits for a change. Default 5s.
-	WatchWait time.Duration
+	WatchTimeout time.Duration
 	// PlatformBackoff is the first pause after a failed platform call; it
 	// doubles up to PlatformBackoffMax. Defaults 500ms and 8s.
 	PlatformBackoff    time.Duration
@@ -67,21 +67,21 @@
 // DefaultConfig returns the defaults.
 func DefaultConfig() Config {
 	return Config{
-		TickPeriod:          150 * time.Millisecond,
-		GossipPerMember:     28 * time.Millisecond,
-		GossipPeriod:        500 * time.Millisecond,
-		HeartbeatPeriod:     time.Second,
-		AgentBeatPerMember:  55 * time.Millisecond,
-		RouterBeatPerRouter: 30 * time.Millisecond,
-		RecordsPerPeriod:    48,
-		WatchersPerZone:     2,
-		WatchWait:           5 * time.Second,
-		PlatformBackoff:     500 * time.Millisecond,
-		PlatformBackoffMax:  8 * time.Second,
-		MachineListPeriod:   3 * time.Second,
-		JoinPeers:           3,
-		JoinWait:            3 * time.Second,
-		FetchTimeout:        2 * time.Second,
-		Membership:          membership.DefaultConfig(),
+		TickPeriod:               150 * time.Millisecond,
+		GossipPerMember:          28 * time.Millisecond,
+		GossipPeriod:             500 * time.Millisecond,
+		HeartbeatPeriod:          time.Second,
+		AgentHeartbeatPerMember:  55 * time.Millisecond,
+		RouterHeartbeatPerRouter: 30 * time.Millisecond,
+		RecordsPerPeriod:         48,
+		WatchersPerZone:          2,
+		WatchTimeout:             5 * time.Second,
+		PlatformBackoff:          500 * time.Millisecond,
+		PlatformBackoffMax:       8 * time.Second,
+		MachineListPeriod:        3 * time.Second,
+		JoinPeers:                3,
+		JoinWait:                 3 * time.Second,
+		FetchTimeout:             2 * time.Second,
+		Membership:               membership.DefaultConfig(),
 	}
 }
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -46,7 +46,7 @@
 type LocalState struct{ State membership.State }
 
 // RecordsHeard is news that came with a request or an answer.
-type RecordsHeard struct {
+type PiggybackedRecords struct {
 	Records []membership.Record
 	// Number is the sender's bundle number.
 	Number uint64
@@ -55,10 +55,10 @@
 }
 
 // Unreachable says that a request could not be sent to the node.
-type Unreachable struct{ ID string }
+type NodeUnreachable struct{ ID string }
 
 // AnsweredLeaving says that the node refused a request since it is leaving.
-type AnsweredLeaving struct{ ID string }
+type NodeLeaving struct{ ID string }
 
 // PlatformBundle is the platform's answer to ReadPlatform.
 type PlatformBundle struct {
@@ -70,7 +70,7 @@
 	Version uint64
 	// AskedAt is when the read was sent: the answer was true at some moment
 	// after it.
-	AskedAt time.Time
+	RequestedAt time.Time
 }
 
 // PlatformFailed says that ReadPlatform got no answer.
@@ -93,18 +93,18 @@
 // MachineList is the platform's list of live and leaving machines, which lags.
 type MachineList struct{ Machines []Machine }
 
-func (Tick) isEvent()            {}
-func (LinkUp) isEvent()          {}
-func (LinkDown) isEvent()        {}
-func (Received) isEvent()        {}
-func (LocalLoad) isEvent()       {}
-func (LocalState) isEvent()      {}
-func (RecordsHeard) isEvent()    {}
-func (Unreachable) isEvent()     {}
-func (AnsweredLeaving) isEvent() {}
-func (PlatformBundle) isEvent()  {}
-func (PlatformFailed) isEvent()  {}
-func (MachineList) isEvent()     {}
+func (Tick) isEvent()               {}
+func (LinkUp) isEvent()             {}
+func (LinkDown) isEvent()           {}
+func (Received) isEvent()           {}
+func (LocalLoad) isEvent()          {}
+func (LocalState) isEvent()         {}
+func (PiggybackedRecords) isEvent() {}
+func (NodeUnreachable) isEvent()    {}
+func (NodeLeaving) isEvent()        {}
+func (PlatformBundle) isEvent()     {}
+func (PlatformFailed) isEvent()     {}
+func (MachineList) isEvent()        {}
 
 // Action is something that the owner of the node must do.
 type Action interface{ isAction() }
@@ -139,10 +139,10 @@
 type ReadMachines struct{}
 
 // Adopt says that a new bundle is in force.
-type Adopt struct{ Bundle *bundle.Bundle }
+type BundleAdopted struct{ Bundle *bundle.Bundle }
 
 // RefusedBundle says that a bundle was refused; the old one stays in force.
-type RefusedBundle struct {
+type BundleRefused struct {
 	// From is the peer that sent it, or "platform".
 	From string
 	Err  *failure.Error
@@ -153,5 +153,5 @@
 func (Disconnect) isAction()    {}
 func (ReadPlatform) isAction()  {}
 func (ReadMachines) isAction()  {}
-func (Adopt) isAction()         {}
-func (RefusedBundle) isAction() {}
+func (BundleAdopted) isAction() {}
+func (BundleRefused) isAction() {}
--- a/internal/coordination/gossip.go
+++ b/internal/coordination/gossip.go
@@ -17,7 +17,7 @@
 
 func (n *Node) linkDown(now time.Time, event LinkDown) []Action {
 	if event.Link == 0 {
-		n.dialing[event.Address] = now
+		n.dialedAt[event.Address] = now
 		return nil
 	}
 	n.links = slices.DeleteFunc(n.links, func(l *link) bool { return l.id == event.Link })
@@ -43,18 +43,18 @@
 	period := n.gossipPeriod()
 	var actions []Action
 	for _, l := range n.links {
-		isNews := l.sentNews != n.currentNews(now)
-		if !force && !isNews && now.Sub(l.sentAt) < period {
+		bundleChanged := l.sentBundle != n.bundleState(now)
+		if !force && !bundleChanged && now.Sub(l.sentAt) < period {
 			continue
 		}
 		records := l.gossip.Pending(now, n.table, limit, n.recordFilter(l))
-		if !force && !isNews && len(records) == 0 && now.Sub(l.sentAt) < n.config.HeartbeatPeriod {
+		if !force && !bundleChanged && len(records) == 0 && now.Sub(l.sentAt) < n.config.HeartbeatPeriod {
 			continue
 		}
 		message := n.message(now, l)
 		message.Records = records
 		l.sentAt = now
-		l.sentNews = n.currentNews(now)
+		l.sentBundle = n.bundleState(now)
 		actions = append(actions, Send{Link: l.id, Message: message})
 	}
 	return actions
@@ -70,9 +70,9 @@
 	return max(period, n.config.TickPeriod) - n.config.TickPeriod/2
 }
 
-func (n *Node) currentNews(now time.Time) news {
+func (n *Node) bundleState(now time.Time) bundleState {
 	_, confirmed := n.acceptor.ConfirmedAge(now)
-	return news{number: n.acceptor.Number(), confirmed: confirmed}
+	return bundleState{number: n.acceptor.Number(), confirmed: confirmed}
 }
 
 // message returns a message for the link without records.
@@ -80,7 +80,7 @@
 	message := Message{
 		From:               n.identity.ID,
 		Number:             n.acceptor.Number(),
-		ConfirmedAgeMillis: noConfirmation,
+		ConfirmedAgeMillis: neverConfirmed,
 		Stamp:              n.clock.stamp(now),
 		Echo:               l.stamp,
 	}
@@ -107,8 +107,8 @@
 		if record.Role == membership.RoleRouter {
 			return changed || zone == "" || record.Zone == zone
 		}
-		isNews := n.identity.Role == membership.RoleAgent || record.State != membership.StateServing
-		return isNews && poolMember(record.ID)
+		mayForward := n.identity.Role == membership.RoleAgent || record.State != membership.StateServing
+		return mayForward && poolMember(record.ID)
 	}
 }
 
@@ -146,42 +146,42 @@
 	message := event.Message
 	l.stamp = max(l.stamp, message.Stamp)
 	n.noteContact(now)
-	n.noteHeardFrom(now, message)
+	n.noteJoinPeer(now, message)
 	l.gossip.Received(message.Records)
-	raised := n.clock.echoed(now, message.Echo)
-	n.table.Merge(now.Add(-raised), message.Records)
-	n.followOwnRecord()
+	ageCorrection := n.clock.recordEcho(now, message.Echo)
+	n.table.Merge(now.Add(-ageCorrection), message.Records)
+	n.adoptOwnState()
 	var actions []Action
 	if len(message.Bundle) > 0 {
-		actions = append(actions, n.offer(now, l.peer, message.Bundle)...)
+		actions = append(actions, n.offerBundle(now, l.peer, message.Bundle)...)
 	}
-	n.noteNumber(message)
+	n.noteBundleNumber(message)
 	if message.Want {
-		actions = append(actions, n.answerWant(now, l)...)
+		actions = append(actions, n.sendBundle(now, l)...)
 	}
 	return append(actions, n.fetchIfBehind(now, l, message.Number)...)
 }
 
-func (n *Node) noteHeardFrom(now time.Time, message Message) {
+func (n *Node) noteJoinPeer(now time.Time, message Message) {
 	if n.join.done || message.Number == 0 {
 		return
 	}
-	if n.join.firstHeard.IsZero() {
-		n.join.firstHeard = now
+	if n.join.firstPeerAt.IsZero() {
+		n.join.firstPeerAt = now
 	}
-	n.join.heardFrom[message.From] = true
+	n.join.peersHeard[message.From] = true
 }
 
 // followOwnRecord takes over what others know about this node's own state, such
 // as that the machine list says it is leaving.
-func (n *Node) followOwnRecord() {
+func (n *Node) adoptOwnState() {
 	n.state = max(n.state, n.table.Self().State)
 }
 
 // noteNumber takes the news of a number and of its confirmation. The age is
 // reckoned from the echoed stamp, not from the arrival: the message may have
 // lain in a buffer, and a confirmation dated too late would stretch the lease.
-func (n *Node) noteNumber(message Message) {
+func (n *Node) noteBundleNumber(message Message) {
 	n.acceptor.Heard(message.Number)
 	if message.ConfirmedAgeMillis >= 0 && message.Echo > 0 {
 		age := time.Duration(message.ConfirmedAgeMillis) * time.Millisecond
@@ -189,7 +189,7 @@
 	}
 }
 
-func (n *Node) answerWant(now time.Time, l *link) []Action {
+func (n *Node) sendBundle(now time.Time, l *link) []Action {
 	current := n.Bundle()
 	if current == nil {
 		return nil
@@ -220,15 +220,15 @@
 }
 
 // offer takes a bundle from a peer or the platform into force if it is newer.
-func (n *Node) offer(now time.Time, from string, raw []byte) []Action {
+func (n *Node) offerBundle(now time.Time, from string, raw []byte) []Action {
 	n.fetch = fetchState{}
 	opened, err := n.open(raw)
 	if err == nil {
 		err = n.accept(opened)
 	}
 	if err != nil {
-		return n.refusal(from, err)
+		return n.reportRefusal(from, err)
 	}
-	actions := []Action{Adopt{Bundle: opened}}
+	actions := []Action{BundleAdopted{Bundle: opened}}
 	return append(actions, n.gossip(now, true)...)
 }
--- a/internal/coordination/message.go
+++ b/internal/coordination/message.go
@@ -15,7 +15,7 @@
 )
 
 // noConfirmation is the wire value of "never confirmed".
-const noConfirmation = -1
+const neverConfirmed = -1
 
 // Message is the one control message between two nodes.
 type Message struct {
--- a/internal/coordination/message_test.go
+++ b/internal/coordination/message_test.go
@@ -12,7 +12,7 @@
 func TestMessageRoundTrip(t *testing.T) {
 	is := is.New(t)
 	message := Message{
-		From: "router-1", Number: 7, ConfirmedAgeMillis: noConfirmation, Stamp: 5, Echo: 4, Want: true,
+		From: "router-1", Number: 7, ConfirmedAgeMillis: neverConfirmed, Stamp: 5, Echo: 4, Want: true,
 		Records: []membership.Record{{ID: "e1", State: membership.StateLeaving, Load: 3, AgeMillis: 12}},
 		Bundle:  []byte("raw"),
 	}
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -30,52 +30,52 @@
 
 // link is one connection to a peer.
 type link struct {
-	id       LinkID
-	peer     string
-	dialed   bool
-	gossip   *membership.Link
-	sentAt   time.Time
-	sentNews news
+	id         LinkID
+	peer       string
+	dialed     bool
+	gossip     *membership.Link
+	sentAt     time.Time
+	sentBundle bundleState
 	// stamp is the peer's last Stamp.
 	stamp int64
 }
 
 // news is what every message carries beside records.
-type news struct {
+type bundleState struct {
 	number    uint64
 	confirmed bool
 }
 
 // Node is the control plane of one node. It is not safe for concurrent use.
 type Node struct {
-	config   Config
-	identity Identity
-	open     Opener
-	acceptor *bundle.Acceptor
-	table    *membership.Table
-	links    []*link
-	dialing  map[string]time.Time
-	platform platformState
-	join     joinState
-	fetch    fetchState
-	load     uint32
-	state    membership.State
-	beatAt   time.Time
-	heardAt  time.Time
-	seedNext int
+	config      Config
+	identity    Identity
+	open        Opener
+	acceptor    *bundle.Acceptor
+	table       *membership.Table
+	links       []*link
+	dialedAt    map[string]time.Time
+	platform    platformState
+	join        joinState
+	fetch       fetchState
+	load        uint32
+	state       membership.State
+	heartbeatAt time.Time
+	contactAt   time.Time
+	nextSeed    int
 	// peersAt is when the peers were last reviewed.
-	peersAt time.Time
-	watcher bool
+	peersReviewedAt time.Time
+	watcher         bool
 	// routersKnown is the number of routers at the last review.
-	routersKnown int
-	clock        freezeClock
+	routerCount int
+	clock       pauseClock
 }
 
 // joinState follows a fresh node until it may trust its bundle.
 type joinState struct {
 	startedAt        time.Time
-	firstHeard       time.Time
-	heardFrom        map[string]bool
+	firstPeerAt      time.Time
+	peersHeard       map[string]bool
 	platformAnswered bool
 	done             bool
 }
@@ -98,15 +98,15 @@
 		self.Zone = identity.Zone
 	}
 	return &Node{
-		config:   config,
-		identity: identity,
-		open:     open,
-		acceptor: acceptor,
-		table:    membership.NewTable(config.Membership, self),
-		dialing:  map[string]time.Time{},
-		join:     joinState{startedAt: now, heardFrom: map[string]bool{}},
-		heardAt:  now,
-		clock:    freezeClock{startedAt: now, steppedAt: now},
+		config:    config,
+		identity:  identity,
+		open:      open,
+		acceptor:  acceptor,
+		table:     membership.NewTable(config.Membership, self),
+		dialedAt:  map[string]time.Time{},
+		join:      joinState{startedAt: now, peersHeard: map[string]bool{}},
+		contactAt: now,
+		clock:     pauseClock{startedAt: now, lastStepAt: now},
 	}
 }
 
@@ -123,15 +123,15 @@
 func (n *Node) ConfirmedAge(now time.Time) (time.Duration, bool) { return n.acceptor.ConfirmedAge(now) }
 
 // ContactAge returns how long ago any peer was heard.
-func (n *Node) ContactAge(now time.Time) time.Duration { return now.Sub(n.heardAt) }
+func (n *Node) ContactAge(now time.Time) time.Duration { return now.Sub(n.contactAt) }
 
 // FreshContact tells whether a peer is known to have spoken since the process
 // last woke from a pause. Until then the node must not rely on what it knew.
-func (n *Node) FreshContact() bool { return !n.clock.echoedAt.Before(n.clock.thawedAt) }
+func (n *Node) HasFreshContact() bool { return !n.clock.lastEchoAt.Before(n.clock.resumedAt) }
 
 // AwakeSince returns when the process started or last woke from a pause. What it
 // knew before may be long out of date.
-func (n *Node) AwakeSince() time.Time { return n.clock.awakeSince() }
+func (n *Node) RunningSince() time.Time { return n.clock.runningSince() }
 
 // Links returns the number of open connections.
 func (n *Node) Links() int { return len(n.links) }
@@ -151,8 +151,8 @@
 	if n.join.done || n.Bundle() == nil || n.acceptor.Behind() {
 		return
 	}
-	heardLong := !n.join.firstHeard.IsZero() && now.Sub(n.join.firstHeard) >= n.config.JoinWait
-	n.join.done = n.join.platformAnswered || len(n.join.heardFrom) >= n.config.JoinPeers || heardLong
+	waitedLong := !n.join.firstPeerAt.IsZero() && now.Sub(n.join.firstPeerAt) >= n.config.JoinWait
+	n.join.done = n.join.platformAnswered || len(n.join.peersHeard) >= n.config.JoinPeers || waitedLong
 }
 
 // Step takes one event and returns the actions that it causes.
@@ -172,12 +172,12 @@
 	case LocalState:
 		n.advanceState(e.State)
 		return n.gossip(now, true)
-	case RecordsHeard:
-		n.recordsHeard(now, e)
-	case Unreachable:
-		n.table.NoteUnreachable(now, e.ID)
-	case AnsweredLeaving:
-		n.table.NoteLeaving(e.ID)
+	case PiggybackedRecords:
+		n.piggybackedRecords(now, e)
+	case NodeUnreachable:
+		n.table.MarkUnreachable(now, e.ID)
+	case NodeLeaving:
+		n.table.MarkLeaving(e.ID)
 	case PlatformBundle:
 		return n.platformBundle(now, e)
 	case PlatformFailed:
@@ -190,57 +190,57 @@
 
 // recordsHeard takes news that came with traffic. Right after a pause it may
 // have lain in a buffer, so it is left aside until a peer has answered.
-func (n *Node) recordsHeard(now time.Time, event RecordsHeard) {
+func (n *Node) piggybackedRecords(now time.Time, event PiggybackedRecords) {
 	n.acceptor.Heard(event.Number)
-	if !n.FreshContact() {
+	if !n.HasFreshContact() {
 		return
 	}
 	n.table.Merge(now, event.Records)
-	n.followOwnRecord()
+	n.adoptOwnState()
 	n.noteContact(now.Add(-event.ContactAge))
 }
 
 func (n *Node) advanceState(state membership.State) {
 	n.state = max(n.state, state)
-	n.table.Beat(n.state, n.load, n.acceptor.Number())
+	n.table.UpdateSelf(n.state, n.load, n.acceptor.Number())
 }
 
 func (n *Node) noteContact(at time.Time) {
-	if at.After(n.heardAt) {
-		n.heardAt = at
+	if at.After(n.contactAt) {
+		n.contactAt = at
 	}
 }
 
 func (n *Node) tick(now time.Time) []Action {
 	n.table.Expire(now)
-	n.beat(now)
+	n.heartbeat(now)
 	actions := n.maintainPeers(now)
 	actions = append(actions, n.gossip(now, false)...)
 	return append(actions, n.readPlatform(now)...)
 }
 
 // beat makes a new record when the load has changed, or as a sign of life.
-func (n *Node) beat(now time.Time) {
-	shortest, longest := n.beatPeriods()
-	since := now.Sub(n.beatAt)
+func (n *Node) heartbeat(now time.Time) {
+	shortest, longest := n.heartbeatPeriods()
+	since := now.Sub(n.heartbeatAt)
 	self := n.table.Self()
 	changed := n.load != self.Load || n.acceptor.Number() != self.Number
 	if since >= longest || changed && since >= shortest {
-		n.table.Beat(n.state, n.load, n.acceptor.Number())
-		n.beatAt = now
+		n.table.UpdateSelf(n.state, n.load, n.acceptor.Number())
+		n.heartbeatAt = now
 	}
 }
 
 // beatPeriods stretch with the number of nodes that every beat must reach, so
 // that the records a node receives each second stay bounded.
-func (n *Node) beatPeriods() (shortest, longest time.Duration) {
+func (n *Node) heartbeatPeriods() (shortest, longest time.Duration) {
 	if n.identity.Role == membership.RoleRouter {
-		longest = max(n.config.HeartbeatPeriod, time.Duration(n.routersKnown)*n.config.RouterBeatPerRouter)
+		longest = max(n.config.HeartbeatPeriod, time.Duration(n.routerCount)*n.config.RouterHeartbeatPerRouter)
 		return longest, longest
 	}
 	shortest = n.config.TickPeriod
 	if pool := n.ownPool(); pool != nil {
-		shortest = max(shortest, time.Duration(len(pool.BackEnds))*n.config.AgentBeatPerMember)
+		shortest = max(shortest, time.Duration(len(pool.BackEnds))*n.config.AgentHeartbeatPerMember)
 	}
 	return min(shortest, n.config.HeartbeatPeriod), n.config.HeartbeatPeriod
 }
@@ -254,7 +254,7 @@
 			count++
 		}
 	})
-	n.routersKnown = count
+	n.routerCount = count
 }
 
 func (n *Node) ownPool() *bundle.Pool {
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -11,26 +11,26 @@
 )
 
 // redialAfter is the pause before an address that failed is dialed again.
-const redialAfter = time.Second
+const redialDelay = time.Second
 
 // peer is a node that can be dialed.
 type peer struct {
 	id      string
 	address string
 	// live is false while the node is silent or unreachable.
-	live bool
+	alive bool
 }
 
 // reviewPeriod is the time between two reviews of the node's peers.
-const reviewPeriod = 500 * time.Millisecond
+const peerReviewPeriod = 500 * time.Millisecond
 
 // maintainPeers reviews the peers and the watchers now and then: both need a
 // walk over the whole table.
 func (n *Node) maintainPeers(now time.Time) []Action {
-	if now.Sub(n.peersAt) < reviewPeriod {
+	if now.Sub(n.peersReviewedAt) < peerReviewPeriod {
 		return nil
 	}
-	n.peersAt = now
+	n.peersReviewedAt = now
 	n.countRouters()
 	n.watcher = n.isWatcher(now)
 	return n.connectPeers(now)
@@ -52,7 +52,7 @@
 	}
 	var actions []Action
 	for _, p := range wanted {
-		if !n.linked(p.id) && n.mayDial(now, p.address) {
+		if !n.isLinked(p.id) && n.mayDial(now, p.address) {
 			actions = append(actions, Connect{Address: p.address, Peer: p.id})
 		}
 	}
@@ -65,8 +65,8 @@
 // dialSeed tries the seeds in turn while the node has no link.
 func (n *Node) dialSeed(now time.Time) []Action {
 	for range n.identity.Seeds {
-		address := n.identity.Seeds[n.seedNext%len(n.identity.Seeds)]
-		n.seedNext++
+		address := n.identity.Seeds[n.nextSeed%len(n.identity.Seeds)]
+		n.nextSeed++
 		if address != n.identity.Address && n.mayDial(now, address) {
 			return []Action{Connect{Address: address}}
 		}
@@ -76,21 +76,21 @@
 
 // mayDial allows one dial to an address in each pause and notes it.
 func (n *Node) mayDial(now time.Time, address string) bool {
-	if at, tried := n.dialing[address]; tried && now.Sub(at) < redialAfter {
+	if at, tried := n.dialedAt[address]; tried && now.Sub(at) < redialDelay {
 		return false
 	}
-	n.dialing[address] = now
+	n.dialedAt[address] = now
 	return true
 }
 
-func (n *Node) linked(id string) bool {
+func (n *Node) isLinked(id string) bool {
 	return slices.ContainsFunc(n.links, func(l *link) bool { return l.peer == id })
 }
 
 // dropUnwanted closes the links that the node dialed and no longer needs, such
 // as one to a seed, once all that it wants are open.
 func (n *Node) dropUnwanted(wanted []peer) []Action {
-	if slices.ContainsFunc(wanted, func(p peer) bool { return p.live && !n.linked(p.id) }) {
+	if slices.ContainsFunc(wanted, func(p peer) bool { return p.alive && !n.isLinked(p.id) }) {
 		return nil
 	}
 	var actions []Action
@@ -117,13 +117,13 @@
 	wanted := ringPeers(n.identity.ID, n.poolPeers(now))
 	chosen := 0
 	for _, p := range rankPeers("router/"+n.identity.ID, n.routers(now, n.identity.Zone)) {
-		if p.live && chosen < routersPerAgent {
+		if p.alive && chosen < routersPerAgent {
 			wanted = append(wanted, p)
 			chosen++
 		}
 	}
 	if chosen == 0 {
-		wanted = append(wanted, n.anyRouter(now)...)
+		wanted = append(wanted, n.fallbackRouter(now)...)
 	}
 	return wanted
 }
@@ -131,10 +131,10 @@
 // anyRouter returns one router of any zone, for an agent whose zone has no live
 // one: one that it is linked with and hears from, else the one whose last dial
 // is longest ago, so that all are tried in turn.
-func (n *Node) anyRouter(now time.Time) []peer {
+func (n *Node) fallbackRouter(now time.Time) []peer {
 	all := rankPeers("router/"+n.identity.ID, n.routers(now, ""))
 	for _, p := range all {
-		if p.live && n.linked(p.id) {
+		if p.alive && n.isLinked(p.id) {
 			return []peer{p}
 		}
 	}
@@ -142,7 +142,7 @@
 		return nil
 	}
 	return []peer{slices.MinFunc(all, func(a, b peer) int {
-		return n.dialing[a.address].Compare(n.dialing[b.address])
+		return n.dialedAt[a.address].Compare(n.dialedAt[b.address])
 	})}
 }
 
@@ -163,12 +163,12 @@
 		if backEnd.ID == n.identity.ID {
 			continue
 		}
-		liveness := membership.Live
+		liveness := membership.Alive
 		if entry := n.table.Entry(backEnd.ID); entry != nil {
 			liveness = n.table.Liveness(now, entry)
 		}
-		if liveness != membership.Gone {
-			peers = append(peers, peer{id: backEnd.ID, address: backEnd.Agent, live: liveness != membership.Doubtful})
+		if liveness != membership.Leaving {
+			peers = append(peers, peer{id: backEnd.ID, address: backEnd.Agent, alive: liveness != membership.Doubtful})
 		}
 	}
 	return peers
@@ -182,7 +182,7 @@
 			return
 		}
 		if entry.State == membership.StateServing {
-			peers = append(peers, peer{id: entry.ID, address: entry.Address, live: n.isLiveRouter(now, entry)})
+			peers = append(peers, peer{id: entry.ID, address: entry.Address, alive: n.isRouterAlive(now, entry)})
 		}
 	})
 	return peers
@@ -190,9 +190,9 @@
 
 // isLiveRouter takes a router for alive for longer than an agent, since a
 // router's records come more rarely in a large fleet.
-func (n *Node) isLiveRouter(now time.Time, entry *membership.Entry) bool {
-	allowed := 4 * max(n.config.HeartbeatPeriod, time.Duration(n.routersKnown)*n.config.RouterBeatPerRouter)
-	return now.Sub(entry.At) <= max(allowed, n.config.Membership.SilentAfter)
+func (n *Node) isRouterAlive(now time.Time, entry *membership.Entry) bool {
+	allowed := 4 * max(n.config.HeartbeatPeriod, time.Duration(n.routerCount)*n.config.RouterHeartbeatPerRouter)
+	return now.Sub(entry.RecordedAt) <= max(allowed, n.config.Membership.SilentAfter)
 }
 
 // ringPeers returns the next node in hash order, the next live one, and one live
@@ -203,16 +203,16 @@
 	}
 	next := ringNext(self, others)
 	wanted := []peer{next}
-	live := slices.DeleteFunc(slices.Clone(others), func(p peer) bool { return !p.live })
-	if len(live) == 0 {
+	alive := slices.DeleteFunc(slices.Clone(others), func(p peer) bool { return !p.alive })
+	if len(alive) == 0 {
 		return wanted
 	}
-	nextLive := ringNext(self, live)
-	if nextLive.id != next.id {
-		wanted = append(wanted, nextLive)
+	nextAlive := ringNext(self, alive)
+	if nextAlive.id != next.id {
+		wanted = append(wanted, nextAlive)
 	}
-	for _, p := range rankPeers("chord/"+self, live) {
-		if p.id != next.id && p.id != nextLive.id {
+	for _, p := range rankPeers("chord/"+self, alive) {
+		if p.id != next.id && p.id != nextAlive.id {
 			return append(wanted, p)
 		}
 	}
--- a/internal/coordination/platform.go
+++ b/internal/coordination/platform.go
@@ -18,10 +18,10 @@
 	// version is the bundle object's version last seen.
 	version uint64
 	// notBefore is when the next call may be made.
-	notBefore time.Time
-	backoff   time.Duration
-	failures  uint64
-	machines  time.Time
+	notBefore      time.Time
+	backoff        time.Duration
+	failures       uint64
+	machinesReadAt time.Time
 }
 
 // readPlatform issues the platform calls that are due. Only watchers call it as
@@ -33,12 +33,12 @@
 		n.platform.reading = true
 		read := ReadPlatform{After: n.platform.version}
 		if n.platform.version != 0 {
-			read.Wait = n.config.WatchWait
+			read.Wait = n.config.WatchTimeout
 		}
 		actions = append(actions, read)
 	}
-	if n.watcher && now.Sub(n.platform.machines) >= n.config.MachineListPeriod {
-		n.platform.machines = now
+	if n.watcher && now.Sub(n.platform.machinesReadAt) >= n.config.MachineListPeriod {
+		n.platform.machinesReadAt = now
 		actions = append(actions, ReadMachines{})
 	}
 	return actions
@@ -51,12 +51,12 @@
 	if n.join.platformAnswered || n.Bundle() != nil {
 		return false
 	}
-	spread := time.Duration(n.spread(0) * float64(n.config.JoinWait))
-	return now.Sub(n.join.startedAt) >= n.config.JoinWait/2+spread
+	jitter := time.Duration(n.hashFraction(0) * float64(n.config.JoinWait))
+	return now.Sub(n.join.startedAt) >= n.config.JoinWait/2+jitter
 }
 
 // spread returns a number from 0 to 1 that depends on the node and the salt.
-func (n *Node) spread(salt uint64) float64 {
+func (n *Node) hashFraction(salt uint64) float64 {
 	hash := xxhash.Sum64String(n.identity.ID) ^ (salt * 0x9e3779b97f4a7c15)
 	return float64(xxhash.Sum64([]byte{
 		byte(hash), byte(hash >> 8), byte(hash >> 16), byte(hash >> 24),
@@ -73,7 +73,7 @@
 	}
 	candidates := []string{n.identity.ID}
 	n.table.Entries(func(entry *membership.Entry) {
-		if entry.Role == membership.RoleRouter && entry.Zone == n.identity.Zone && n.table.Liveness(now, entry) == membership.Live {
+		if entry.Role == membership.RoleRouter && entry.Zone == n.identity.Zone && n.table.Liveness(now, entry) == membership.Alive {
 			candidates = append(candidates, entry.ID)
 		}
 	})
@@ -95,7 +95,7 @@
 	n.platform.version = event.Version
 	n.join.platformAnswered = true
 	if event.Unchanged {
-		n.acceptor.Confirm(n.acceptor.Number(), event.AskedAt)
+		n.acceptor.Confirm(n.acceptor.Number(), event.RequestedAt)
 		return nil
 	}
 	if event.Raw == nil {
@@ -109,15 +109,15 @@
 func (n *Node) offerFromPlatform(now time.Time, event PlatformBundle) []Action {
 	opened, err := n.open(event.Raw)
 	if err != nil {
-		return n.refusal("platform", err)
+		return n.reportRefusal("platform", err)
 	}
 	var actions []Action
 	if err := n.accept(opened); err == nil {
-		actions = append(actions, Adopt{Bundle: opened})
+		actions = append(actions, BundleAdopted{Bundle: opened})
 	} else if opened.Number != n.acceptor.Number() {
-		return n.refusal("platform", err)
+		return n.reportRefusal("platform", err)
 	}
-	n.acceptor.Confirm(opened.Number, event.AskedAt)
+	n.acceptor.Confirm(opened.Number, event.RequestedAt)
 	return append(actions, n.gossip(now, true)...)
 }
 
@@ -131,12 +131,12 @@
 
 // refusal reports a refused bundle. One that is merely not newer is the normal
 // end of a race between two sources and needs no report.
-func (n *Node) refusal(from string, err error) []Action {
+func (n *Node) reportRefusal(from string, err error) []Action {
 	typed := failure.From(err)
 	if typed.Kind == failure.StaleBundle && from != "platform" {
 		return nil
 	}
-	return []Action{RefusedBundle{From: from, Err: typed}}
+	return []Action{BundleRefused{From: from, Err: typed}}
 }
 
 // platformFailed backs off with jitter, so that an outage's end meets no storm.
@@ -144,7 +144,7 @@
 	n.platform.reading = false
 	n.platform.failures++
 	n.platform.backoff = min(max(2*n.platform.backoff, n.config.PlatformBackoff), n.config.PlatformBackoffMax)
-	jitter := 0.5 + n.spread(n.platform.failures)
+	jitter := 0.5 + n.hashFraction(n.platform.failures)
 	n.platform.notBefore = now.Add(time.Duration(jitter * float64(n.platform.backoff)))
 }
 
@@ -159,18 +159,18 @@
 			continue
 		}
 		if machine.Leaving {
-			n.table.NoteLeaving(machine.ID)
+			n.table.MarkLeaving(machine.ID)
 			continue
 		}
 		if machine.Role == membership.RoleRouter && n.table.Entry(machine.ID) == nil {
-			n.learnRouter(now, machine)
+			n.addRouter(now, machine)
 		}
 	}
 }
 
 // learnRouter adds a router from the list with the lowest incarnation: whatever
 // the router says about itself replaces it.
-func (n *Node) learnRouter(now time.Time, machine Machine) {
+func (n *Node) addRouter(now time.Time, machine Machine) {
 	n.table.Merge(now, []membership.Record{{
 		ID: machine.ID, Role: membership.RoleRouter, Address: machine.Address, Zone: machine.Zone,
 	}})
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -127,14 +127,14 @@
 func nodeStatus(now time.Time, table *membership.Table, entry *membership.Entry) NodeStatus {
 	status := NodeStatus{
 		ID: entry.ID, Zone: entry.Zone, Bundle: entry.Number, Load: entry.Load,
-		AgeSeconds: now.Sub(entry.At).Seconds(), Health: healthDoubtful,
+		AgeSeconds: now.Sub(entry.RecordedAt).Seconds(), Health: healthDoubtful,
 	}
 	switch table.Liveness(now, entry) {
-	case membership.Live:
+	case membership.Alive:
 		status.Health = healthServing
 	case membership.Flapping:
 		status.Health = healthFlapping
-	case membership.Gone:
+	case membership.Leaving:
 		status.Health = healthLeaving
 	}
 	return status
--- a/internal/membership/damping.go
+++ b/internal/membership/damping.go
@@ -10,27 +10,27 @@
 // damping (RFC 2439).
 type damper struct {
 	penalty    float64
-	at         time.Time
+	decayedAt  time.Time
 	suppressed bool
 }
 
 const (
 	// dampingHalfLife halves the penalty.
-	dampingHalfLife = 30 * time.Second
+	penaltyHalfLife = 30 * time.Second
 	// dampingSuppress is the penalty above which the node is doubtful.
-	dampingSuppress = 2.5
+	suppressThreshold = 2.5
 	// dampingReuse is the penalty below which it is trusted again.
-	dampingReuse = 1.0
+	reuseThreshold = 1.0
 	// dampingMaximum bounds the penalty, and so the longest suppression to
 	// about two half-lives.
-	dampingMaximum = 4.0
+	maxPenalty = 4.0
 )
 
 // lost adds the penalty of one loss.
-func (d *damper) lost(now time.Time) {
+func (d *damper) addPenalty(now time.Time) {
 	d.decay(now)
-	d.penalty = math.Min(d.penalty+1, dampingMaximum)
-	if d.penalty > dampingSuppress {
+	d.penalty = math.Min(d.penalty+1, maxPenalty)
+	if d.penalty > suppressThreshold {
 		d.suppressed = true
 	}
 }
@@ -41,16 +41,16 @@
 		return false
 	}
 	d.decay(now)
-	if d.penalty < dampingReuse {
+	if d.penalty < reuseThreshold {
 		d.suppressed = false
 	}
 	return d.suppressed
 }
 
 func (d *damper) decay(now time.Time) {
-	if !d.at.IsZero() {
-		halvings := now.Sub(d.at).Seconds() / dampingHalfLife.Seconds()
+	if !d.decayedAt.IsZero() {
+		halvings := now.Sub(d.decayedAt).Seconds() / penaltyHalfLife.Seconds()
 		d.penalty *= math.Exp2(-halvings)
 	}
-	d.at = now
+	d.decayedAt = now
 }
--- a/internal/membership/link.go
+++ b/internal/membership/link.go
@@ -7,7 +7,7 @@
 )
 
 // position is the place of a record in its node's own order.
-type position struct {
+type recordVersion struct {
 	incarnation Incarnation
 	state       State
 	beat        uint32
@@ -17,28 +17,28 @@
 // node the peer has, so that every record crosses a link at most once in either
 // direction.
 type Link struct {
-	has map[string]position
+	known map[string]recordVersion
 }
 
 // NewLink returns the state of a fresh connection.
-func NewLink() *Link { return &Link{has: map[string]position{}} }
+func NewLink() *Link { return &Link{known: map[string]recordVersion{}} }
 
 // Received notes the records that came from the peer.
 func (l *Link) Received(records []Record) {
 	for _, record := range records {
-		l.note(record)
+		l.markKnown(record)
 	}
 }
 
-func (l *Link) note(record Record) {
-	if l.lacks(record) {
-		l.has[record.ID] = position{record.Incarnation, record.State, record.Beat}
+func (l *Link) markKnown(record Record) {
+	if l.peerLacks(record) {
+		l.known[record.ID] = recordVersion{record.Incarnation, record.State, record.Beat}
 	}
 }
 
-func (l *Link) lacks(record Record) bool {
-	have := l.has[record.ID]
-	return newer(record, Record{Incarnation: have.incarnation, State: have.state, Beat: have.beat})
+func (l *Link) peerLacks(record Record) bool {
+	known := l.known[record.ID]
+	return newer(record, Record{Incarnation: known.incarnation, State: known.state, Beat: known.beat})
 }
 
 // Filter tells whether a record should cross a link. changed says that the peer
@@ -51,18 +51,18 @@
 // incarnation, then the latest. Routers get a quarter of the places, so that
 // neither a flood of new routers holds up the loads of agents, nor the loads of
 // many agents the news of routers.
-func (l *Link) Pending(now time.Time, table *Table, limit int, accept Filter) []Record {
+func (l *Link) Pending(now time.Time, table *Table, limit int, filter Filter) []Record {
 	var records []Record
-	if self := table.Self(); l.lacks(self) {
+	if self := table.Self(); l.peerLacks(self) {
 		records = append(records, self)
 	}
 	var agents, routers []pendingRecord
 	table.Entries(func(entry *Entry) {
-		if !l.lacks(entry.Record) {
+		if !l.peerLacks(entry.Record) {
 			return
 		}
-		changed := l.has[entry.ID].incarnation != entry.Incarnation || entry.State != StateServing
-		if !accept(entry.Record, changed) {
+		changed := l.known[entry.ID].incarnation != entry.Incarnation || entry.State != StateServing
+		if !filter(entry.Record, changed) {
 			return
 		}
 		candidate := pendingRecord{entry: entry, changed: changed}
@@ -72,8 +72,8 @@
 			agents = append(agents, candidate)
 		}
 	})
-	for _, candidate := range share(agents, routers, limit-len(records)) {
-		records = append(records, aged(now, candidate.entry))
+	for _, candidate := range allocateSlots(agents, routers, limit-len(records)) {
+		records = append(records, withAge(now, candidate.entry))
 	}
 	l.Received(records)
 	return records
@@ -89,12 +89,12 @@
 
 // share divides the places between agents and routers. What one side doesn't
 // need the other gets.
-func share(agents, routers []pendingRecord, places int) []pendingRecord {
+func allocateSlots(agents, routers []pendingRecord, slots int) []pendingRecord {
 	slices.SortStableFunc(agents, comparePending)
 	slices.SortStableFunc(routers, comparePending)
-	reserved := min(len(routers), (places+routerShare-1)/routerShare)
-	taken := agents[:min(len(agents), max(0, places-reserved))]
-	left := max(0, places-len(taken))
+	reserved := min(len(routers), (slots+routerShare-1)/routerShare)
+	taken := agents[:min(len(agents), max(0, slots-reserved))]
+	left := max(0, slots-len(taken))
 	return append(taken, routers[:min(len(routers), left)]...)
 }
 
@@ -105,5 +105,5 @@
 		}
 		return 1
 	}
-	return cmp.Compare(b.entry.At.UnixNano(), a.entry.At.UnixNano())
+	return cmp.Compare(b.entry.RecordedAt.UnixNano(), a.entry.RecordedAt.UnixNano())
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -15,7 +15,7 @@
 
 func newTable() *Table { return NewTable(DefaultConfig(), Record{ID: "self", Incarnation: 5}) }
 
-func TestNewestRecordWinsInAnyOrder(t *testing.T) {
+func TestMergeKeepsNewestRecordInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rapid.Custom(func(t *rapid.T) Record {
 			return Record{
@@ -40,20 +40,20 @@
 	})
 }
 
-func TestLivenessFollowsSilenceAndReturn(t *testing.T) {
+func TestSilentNodeIsDoubtfulUntilFreshRecord(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
 	table.Merge(start, []Record{{ID: "e1", Incarnation: 1, Beat: 1}})
-	is.Equal(table.Liveness(start, table.Entry("e1")), Live)
+	is.Equal(table.Liveness(start, table.Entry("e1")), Alive)
 	later := start.Add(5 * time.Second)
 	is.Equal(table.Liveness(later, table.Entry("e1")), Doubtful)
 	table.Merge(later, []Record{{ID: "e1", Incarnation: 1, Beat: 2}})
-	is.Equal(table.Liveness(later, table.Entry("e1")), Live)
+	is.Equal(table.Liveness(later, table.Entry("e1")), Alive)
 	table.Merge(later, []Record{{ID: "e1", Incarnation: 1, Beat: 3, AgeMillis: 6000}})
 	is.Equal(table.Liveness(later, table.Entry("e1")), Doubtful) // old news is no sign of life
 }
 
-func TestFlappingNodeIsDampedAndTrustedAgain(t *testing.T) {
+func TestFlappingNodeIsDampedUntilPenaltyDecays(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
 	now := start
@@ -64,24 +64,24 @@
 	is.Equal(table.Liveness(now, table.Entry("e1")), Flapping) // three restarts in three seconds
 	now = now.Add(time.Minute)
 	table.Merge(now, []Record{{ID: "e1", Incarnation: 4, Beat: 9}})
-	is.Equal(table.Liveness(now, table.Entry("e1")), Live)
+	is.Equal(table.Liveness(now, table.Entry("e1")), Alive)
 }
 
-func TestOneLossWithManySignsIsOnePenalty(t *testing.T) {
+func TestRepeatedSignsOfOneLossAddOnePenalty(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
 	table.Merge(start, []Record{{ID: "e1", Incarnation: 1, Beat: 1}})
 	for second := range 30 {
 		now := start.Add(time.Duration(second) * time.Second)
-		table.NoteUnreachable(now, "e1")
+		table.MarkUnreachable(now, "e1")
 		table.Expire(now)
 	}
 	back := start.Add(30 * time.Second)
 	table.Merge(back, []Record{{ID: "e1", Incarnation: 2, Beat: 1}})
-	is.Equal(table.Liveness(back.Add(3*time.Second), table.Entry("e1")), Live)
+	is.Equal(table.Liveness(back.Add(3*time.Second), table.Entry("e1")), Alive)
 }
 
-func TestOthersCanTellANodeThatItIsLeaving(t *testing.T) {
+func TestMergeOfOwnRecordMarksLeavingOrSuperseded(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
 	table.Merge(start, []Record{{ID: "self", Incarnation: 4, State: StateLeaving}})
@@ -93,42 +93,42 @@
 	is.True(table.Superseded())
 }
 
-func TestUnreachableNodeIsDoubtfulForAWhile(t *testing.T) {
+func TestUnreachableNodeIsDoubtfulUntilTimeout(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
-	table.NoteUnreachable(start, "e1")
+	table.MarkUnreachable(start, "e1")
 	is.Equal(table.Liveness(start, table.Entry("e1")), Doubtful)
-	is.Equal(table.Liveness(start.Add(3*time.Second), table.Entry("e1")), Live)
+	is.Equal(table.Liveness(start.Add(3*time.Second), table.Entry("e1")), Alive)
 }
 
-func all(Record, bool) bool { return true }
+func acceptAll(Record, bool) bool { return true }
 
-func TestLinkCarriesEveryRecordOnce(t *testing.T) {
+func TestLinkSendsEachRecordOnce(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
 	link := NewLink()
 	table.Merge(start, []Record{{ID: "e1", Incarnation: 1, Beat: 1}, {ID: "e2", Incarnation: 1, Beat: 1}})
-	is.Equal(len(link.Pending(start, table, 10, all)), 3) // with the node's own
-	is.Equal(len(link.Pending(start, table, 10, all)), 0)
+	is.Equal(len(link.Pending(start, table, 10, acceptAll)), 3) // with the node's own
+	is.Equal(len(link.Pending(start, table, 10, acceptAll)), 0)
 	link.Received([]Record{{ID: "e1", Incarnation: 1, Beat: 2}})
 	table.Merge(start, []Record{{ID: "e1", Incarnation: 1, Beat: 2}})
-	is.Equal(len(link.Pending(start, table, 10, all)), 0) // the peer told it itself
+	is.Equal(len(link.Pending(start, table, 10, acceptAll)), 0) // the peer told it itself
 }
 
-func TestLinkSendsChangesOfStateBeforeLoads(t *testing.T) {
+func TestLinkSendsStateChangesBeforeLoads(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
 	link := NewLink()
 	table.Merge(start, []Record{{ID: "e1", Incarnation: 1, Beat: 1}, {ID: "e2", Incarnation: 1, Beat: 1}})
-	link.Pending(start, table, 10, all)
+	link.Pending(start, table, 10, acceptAll)
 	table.Merge(start.Add(time.Second), []Record{{ID: "e1", Incarnation: 1, Beat: 2}})
-	table.NoteLeaving("e2")
-	pending := link.Pending(start.Add(time.Second), table, 1, all)
+	table.MarkLeaving("e2")
+	pending := link.Pending(start.Add(time.Second), table, 1, acceptAll)
 	is.Equal(pending[0].ID, "e2")
 	is.Equal(pending[0].State, StateLeaving)
 }
 
-func TestNeitherRoutersNorAgentsHoldUpTheOthers(t *testing.T) {
+func TestPendingDividesSlotsBetweenRoutersAndAgents(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
 	link := NewLink()
@@ -138,7 +138,7 @@
 			{ID: fmt.Sprint("r", i), Role: RoleRouter, Incarnation: 1},
 		})
 	}
-	pending := link.Pending(start, table, 9, all) // the node's own and eight more
+	pending := link.Pending(start, table, 9, acceptAll) // the node's own and eight more
 	routers := 0
 	for _, record := range pending {
 		if record.Role == RoleRouter {
@@ -149,7 +149,7 @@
 	is.Equal(routers, 2)
 }
 
-func TestFreshestReturnsTheLatestWithTheirAge(t *testing.T) {
+func TestFreshestReturnsLatestRecordsWithAge(t *testing.T) {
 	is := is.New(t)
 	table := newTable()
 	for i, id := range []string{"e1", "e2", "e3"} {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -29,20 +29,20 @@
 type Entry struct {
 	Record
 	// At is the local time at which the record was made.
-	At time.Time
+	RecordedAt time.Time
 
 	damper           damper
 	unreachableUntil time.Time
 	// lost is set by the first sign of a loss and reset by the next sign of
 	// life, so that one loss with many signs is one penalty.
-	lost bool
+	lossCounted bool
 }
 
 // noteLoss counts a loss once.
 func (e *Entry) noteLoss(now time.Time) {
-	if !e.lost {
-		e.lost = true
-		e.damper.lost(now)
+	if !e.lossCounted {
+		e.lossCounted = true
+		e.damper.addPenalty(now)
 	}
 }
 
@@ -75,7 +75,7 @@
 func (t *Table) Superseded() bool { return t.superseded }
 
 // Beat makes a new record of the node itself. number is its bundle's.
-func (t *Table) Beat(state State, load uint32, number uint64) {
+func (t *Table) UpdateSelf(state State, load uint32, number uint64) {
 	t.self.State = max(t.self.State, state)
 	t.self.Load = load
 	t.self.Number = number
@@ -99,18 +99,18 @@
 // Merge takes records that were received at the time. It returns the entries
 // that are news.
 func (t *Table) Merge(now time.Time, records []Record) []*Entry {
-	var news []*Entry
+	var updated []*Entry
 	for _, record := range records {
 		if entry := t.mergeOne(now, record); entry != nil {
-			news = append(news, entry)
+			updated = append(updated, entry)
 		}
 	}
-	return news
+	return updated
 }
 
 func (t *Table) mergeOne(now time.Time, record Record) *Entry {
 	if record.ID == t.self.ID {
-		t.hearOfSelf(record)
+		t.mergeSelf(record)
 		return nil
 	}
 	at := now.Add(-time.Duration(record.AgeMillis) * time.Millisecond)
@@ -125,15 +125,15 @@
 		entry.noteLoss(now) // a restart that was too quick to be noticed
 	}
 	entry.Record = record
-	entry.At = at
-	entry.lost = false
+	entry.RecordedAt = at
+	entry.lossCounted = false
 	t.version++
 	return entry
 }
 
 // hearOfSelf takes what others say about this node: a higher incarnation means
 // that another process took its place, a later state that it must leave.
-func (t *Table) hearOfSelf(record Record) {
+func (t *Table) mergeSelf(record Record) {
 	if record.Incarnation > t.self.Incarnation {
 		t.superseded = true
 	}
@@ -151,10 +151,10 @@
 
 // NoteUnreachable records that a connection to the node failed, also when the
 // node was never heard of.
-func (t *Table) NoteUnreachable(now time.Time, id string) {
+func (t *Table) MarkUnreachable(now time.Time, id string) {
 	entry, known := t.entries[id]
 	if !known {
-		entry = &Entry{Record: Record{ID: id}, At: now}
+		entry = &Entry{Record: Record{ID: id}, RecordedAt: now}
 		t.insert(entry)
 	}
 	entry.noteLoss(now)
@@ -169,7 +169,7 @@
 
 // NoteLeaving records that the node takes no new work, as it answered itself or
 // as the machine list says. The news spreads with the node's record.
-func (t *Table) NoteLeaving(id string) {
+func (t *Table) MarkLeaving(id string) {
 	if entry, known := t.entries[id]; known && entry.State < StateLeaving {
 		entry.State = StateLeaving
 		t.version++
@@ -179,8 +179,8 @@
 // Expire notes nodes that have fallen silent and forgets those silent for long.
 func (t *Table) Expire(now time.Time) {
 	t.ordered = slices.DeleteFunc(t.ordered, func(entry *Entry) bool {
-		age := now.Sub(entry.At)
-		if age > t.config.SilentAfter && !entry.lost {
+		age := now.Sub(entry.RecordedAt)
+		if age > t.config.SilentAfter && !entry.lossCounted {
 			entry.noteLoss(now)
 			t.version++
 		}
@@ -199,27 +199,27 @@
 // The values of Liveness.
 const (
 	// Live is heard from and serving.
-	Live Liveness = iota
+	Alive Liveness = iota
 	// Flapping is heard from and serving, but was lost several times of late.
 	Flapping
 	// Doubtful is silent or unreachable.
 	Doubtful
 	// Gone is leaving or has left.
-	Gone
+	Leaving
 )
 
 // Liveness judges the entry.
 func (t *Table) Liveness(now time.Time, entry *Entry) Liveness {
 	switch {
 	case entry.State != StateServing:
-		return Gone
-	case now.Sub(entry.At) > t.config.SilentAfter,
+		return Leaving
+	case now.Sub(entry.RecordedAt) > t.config.SilentAfter,
 		t.IsUnreachable(now, entry):
 		return Doubtful
 	case !t.config.NoDamping && entry.damper.isSuppressed(now):
 		return Flapping
 	default:
-		return Live
+		return Alive
 	}
 }
 
@@ -241,7 +241,7 @@
 		if len(chosen) >= limit {
 			break
 		}
-		chosen = append(chosen, aged(now, entry))
+		chosen = append(chosen, withAge(now, entry))
 	}
 	return chosen
 }
@@ -249,7 +249,7 @@
 // insertLatest keeps the list of the limit latest entries in order.
 func insertLatest(latest []*Entry, entry *Entry, limit int) []*Entry {
 	at := len(latest)
-	for at > 0 && entry.At.After(latest[at-1].At) {
+	for at > 0 && entry.RecordedAt.After(latest[at-1].RecordedAt) {
 		at--
 	}
 	if at >= limit {
@@ -260,8 +260,8 @@
 }
 
 // aged returns the entry's record with its age at the moment of sending.
-func aged(now time.Time, entry *Entry) Record {
+func withAge(now time.Time, entry *Entry) Record {
 	record := entry.Record
-	record.AgeMillis = uint32(max(0, now.Sub(entry.At).Milliseconds()))
+	record.AgeMillis = uint32(max(0, now.Sub(entry.RecordedAt).Milliseconds()))
 	return record
 }
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -118,10 +118,10 @@
 			p.spawn(func() { p.readPlatform(a) })
 		case coordination.ReadMachines:
 			p.spawn(p.readMachines)
-		case coordination.Adopt:
+		case coordination.BundleAdopted:
 			p.config.Log.WithFields(logrus.Fields{"number": a.Bundle.Number, "note": a.Bundle.Note}).Info("bundle in force")
 			p.config.Metrics.Gauge("bundle_number").Update(float64(a.Bundle.Number))
-		case coordination.RefusedBundle:
+		case coordination.BundleRefused:
 			p.config.Log.WithFields(logrus.Fields{"from": a.From, "kind": a.Err.Kind.String()}).WithError(a.Err).Warn("bundle refused; the old one stays in force")
 			p.config.Metrics.Tagged(map[string]string{"kind": a.Err.Kind.String()}).Counter("bundles_refused").Inc(1)
 		}
@@ -275,7 +275,7 @@
 		return
 	}
 	unchanged := action.After != 0 && object.Version == action.After
-	p.config.Deliver(coordination.PlatformBundle{Raw: object.Value, Unchanged: unchanged, Version: object.Version, AskedAt: askedAt})
+	p.config.Deliver(coordination.PlatformBundle{Raw: object.Value, Unchanged: unchanged, Version: object.Version, RequestedAt: askedAt})
 }
 
 func (p *Peering) readBundle(action coordination.ReadPlatform) (objectstore.Object, error) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -138,7 +138,7 @@
 func (c *Core) Control(now time.Time, event coordination.Event) []coordination.Action {
 	actions := c.node.Step(now, event)
 	for _, action := range actions {
-		if adopted, ok := action.(coordination.Adopt); ok {
+		if adopted, ok := action.(coordination.BundleAdopted); ok {
 			c.adopt(now, adopted.Bundle)
 		}
 	}
@@ -278,7 +278,7 @@
 		}}
 	}
 	if kind == failure.Leaving {
-		c.node.Step(now, coordination.AnsweredLeaving{ID: exchange.target})
+		c.node.Step(now, coordination.NodeLeaving{ID: exchange.target})
 	}
 	exchange.route.Refused(now, exchange.target, routing.Refusal{
 		Kind:       kind,
@@ -307,14 +307,14 @@
 // NotSent notes that the target could not be reached, so that nothing was sent,
 // and returns what to do next.
 func (c *Core) NotSent(now time.Time, exchange *Exchange) Decision {
-	c.node.Step(now, coordination.Unreachable{ID: exchange.target})
+	c.node.Step(now, coordination.NodeUnreachable{ID: exchange.target})
 	return c.next(now, exchange, true)
 }
 
 // Lost notes that the target broke off before its answer began and returns the
 // caller's final answer: the request may have run, so it is never sent again.
 func (c *Core) Lost(now time.Time, exchange *Exchange) Decision {
-	c.node.Step(now, coordination.Unreachable{ID: exchange.target})
+	c.node.Step(now, coordination.NodeUnreachable{ID: exchange.target})
 	if c.config.RetryUnknown {
 		return c.next(now, exchange, true)
 	}
@@ -323,7 +323,7 @@
 
 // Heard takes the news that came with an answer.
 func (c *Core) Heard(now time.Time, reply hop.Reply) {
-	c.node.Step(now, coordination.RecordsHeard{
+	c.node.Step(now, coordination.PiggybackedRecords{
 		Records:    reply.News.Records,
 		Number:     reply.News.Number,
 		ContactAge: time.Duration(reply.News.ContactAgeMillis) * time.Millisecond,
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -39,7 +39,7 @@
 	}
 	open := func(raw []byte) (*bundle.Bundle, error) { return bundle.Open(raw, trusted) }
 	core := New(config, open, bundle.NewAcceptor(trusted), start)
-	core.Control(start, coordination.PlatformBundle{Raw: raw, Version: 1, AskedAt: start})
+	core.Control(start, coordination.PlatformBundle{Raw: raw, Version: 1, RequestedAt: start})
 	return core
 }
 
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -16,7 +16,7 @@
 	routers := 1
 	table := c.node.Table()
 	table.Entries(func(entry *membership.Entry) {
-		if entry.Role == membership.RoleRouter && table.Liveness(now, entry) == membership.Live {
+		if entry.Role == membership.RoleRouter && table.Liveness(now, entry) == membership.Alive {
 			routers++
 		}
 	})
@@ -33,7 +33,7 @@
 			member.Health = c.health(table.Liveness(now, entry))
 			member.Incarnation = uint32(entry.Incarnation)
 			member.Load = int(entry.Load)
-			member.LoadAge = now.Sub(entry.At)
+			member.LoadAge = now.Sub(entry.RecordedAt)
 			member.LoadKnown = entry.Incarnation != 0
 		}
 		if backEnd.Leaving {
@@ -46,7 +46,7 @@
 
 func (c *Core) health(liveness membership.Liveness) routing.Health {
 	switch liveness {
-	case membership.Gone:
+	case membership.Leaving:
 		if c.config.IgnoreLeaving {
 			return routing.HealthAlive
 		}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -138,9 +138,9 @@
 			n.s.platform.read(n, a)
 		case coordination.ReadMachines:
 			n.s.platform.readMachines(n)
-		case coordination.Adopt:
+		case coordination.BundleAdopted:
 			n.s.checks.adopted(n, a.Bundle.Number)
-		case coordination.RefusedBundle:
+		case coordination.BundleRefused:
 			n.s.loop.log("%s refused a bundle from %s: %v", n.process.id, a.From, a.Err.Kind)
 		}
 	}
--- a/internal/simulation/simplatform.go
+++ b/internal/simulation/simplatform.go
@@ -75,7 +75,7 @@
 			return
 		}
 		p.s.loop.after(platformLatency, func() {
-			deliver(coordination.PlatformBundle{Raw: object.Value, Unchanged: unchanged, Version: object.Version, AskedAt: asked})
+			deliver(coordination.PlatformBundle{Raw: object.Value, Unchanged: unchanged, Version: object.Version, RequestedAt: asked})
 		})
 	}
 	if action.Wait == 0 || p.objects[objectstore.BundleKey].Version != action.After {
