--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/harriernotch/harriernotch/internal/membership"
 )
 
-// benchSize is a fleet as one node sees it.
+// benchSize is the size of a fleet and the number of links of the measured node.
 type benchSize struct {
 	routers, pools, engines, links int
 }
@@ -29,7 +29,7 @@
 	return text.String()
 }
 
-// records returns one record of every node, at the beat.
+// records returns one record of each node, with the given beat.
 func (z benchSize) records(beat uint32) []membership.Record {
 	var records []membership.Record
 	for router := range z.routers {
@@ -46,9 +46,9 @@
 	return records
 }
 
-// BenchmarkControlSecond measures one second of a router's control plane: its
-// ticks, and messages with a sixteenth of all records on every link. It reports
-// processor time for each second and the memory of the node's state.
+// BenchmarkControlSecond measures about one second of a router's control plane: seven ticks, each
+// followed by a message with a sixteenth of all records, on one link after another. It reports the
+// time for each second and the memory of the node's state.
 func BenchmarkControlSecond(b *testing.B) {
 	for _, size := range []benchSize{{4, 1, 22, 6}, {85, 5, 33, 9}, {170, 5, 66, 9}, {340, 5, 132, 9}} {
 		b.Run(fmt.Sprintf("nodes=%d", size.routers+size.pools*size.engines), func(b *testing.B) {
@@ -106,7 +106,7 @@
 	runtime.KeepAlive(node)
 }
 
-// BenchmarkOpenBundle measures what a node does with every new bundle.
+// BenchmarkOpenBundle measures how long a node takes to open a new bundle.
 func BenchmarkOpenBundle(b *testing.B) {
 	key := ed25519.NewKeyFromSeed([]byte(strings.Repeat("k", ed25519.SeedSize)))
 	trusted := []ed25519.PublicKey{key.Public().(ed25519.PublicKey)}
--- a/internal/coordination/config.go
+++ b/internal/coordination/config.go
@@ -6,65 +6,61 @@
 	"github.com/harriernotch/harriernotch/internal/membership"
 )
 
-// Config tunes a node's control plane. The defaults suit fleets from three
-// nodes to a thousand: periods stretch with the number of nodes, so that the
-// traffic of a node grows more slowly than the fleet.
+// Config holds the parameters of a node's control plane. The defaults suit fleets of three to a
+// thousand nodes: intervals grow with the number of nodes, so that the traffic of each node grows
+// more slowly than the fleet.
 type Config struct {
-	// TickPeriod is the time between two ticks, and the shortest time between
-	// two messages on a link. Default 150ms.
+	// TickPeriod is the interval between ticks, and the shortest interval between regular
+	// messages on a link. Default 150ms.
 	TickPeriod time.Duration
-	// GossipPerMember stretches the time between two messages on a link by so
-	// much for every member of the pool, up to GossipPeriod: a small pool can
-	// afford to tell every change, and needs it, since one request weighs more
-	// there. Default 28ms.
+	// GossipPerMember is the interval between messages on a link for each member of the node's
+	// pool, up to GossipPeriod. A small pool can afford to send every change, and needs to, since
+	// one request is a larger part of its load. Default 28ms.
 	GossipPerMember time.Duration
-	// GossipPeriod is the longest such time while there is news. Shorter
-	// spreads loads faster and costs messages. Default 500ms.
+	// GossipPeriod is the longest interval between messages on a link while records are pending.
+	// A shorter one spreads loads faster and costs more messages. Default 500ms.
 	GossipPeriod time.Duration
-	// HeartbeatPeriod is the longest time between two messages on a link.
-	// Default 1s.
+	// HeartbeatPeriod is the longest interval between messages on a link. Default 1s.
 	HeartbeatPeriod time.Duration
-	// AgentBeatPerMember stretches the time between two load reports of an
-	// agent by so much for every member of its pool, up to HeartbeatPeriod.
-	// Default 55ms.
+	// AgentHeartbeatPerMember is the shortest interval between an agent's load reports for each
+	// member of its pool, up to HeartbeatPeriod. Default 55ms.
 	AgentHeartbeatPerMember time.Duration
-	// RouterBeatPerRouter stretches the time between two records of a router
-	// by so much for every router known. Default 30ms.
+	// RouterHeartbeatPerRouter is the interval between a router's records for each known router.
+	// The interval is never shorter than HeartbeatPeriod. Default 30ms.
 	RouterHeartbeatPerRouter time.Duration
-	// RecordsPerPeriod bounds the records a node sends in one period over all
-	// its links. Default 48.
+	// RecordsPerPeriod limits the records that a node sends in one round of gossip. The links
+	// share it equally; each may carry at least two. Default 48.
 	RecordsPerPeriod int
-	// WatchersPerZone is the number of routers of a zone that watch the
-	// platform. Default 2.
+	// WatchersPerZone is the number of routers in each zone that watch the platform. Default 2.
 	WatchersPerZone int
-	// WatchWait is how long a watch waits for a change. Default 5s.
+	// WatchTimeout is how long one watch call waits for a new version. Default 5s.
 	WatchTimeout time.Duration
-	// PlatformBackoff is the first pause after a failed platform call; it
-	// doubles up to PlatformBackoffMax. Defaults 500ms and 8s.
+	// PlatformBackoff is the delay after the first failed platform call, before jitter. It doubles
+	// with each further failure, up to PlatformBackoffMax. Defaults 500ms and 8s.
 	PlatformBackoff    time.Duration
 	PlatformBackoffMax time.Duration
-	// MachineListPeriod is the time between two reads of the machine list by a
-	// watcher. Default 3s.
+	// MachineListPeriod is the interval between a watcher's reads of the machine list. Default 3s.
 	MachineListPeriod time.Duration
-	// JoinPeers and JoinWait bound how long a fresh node that can't reach the
-	// platform asks around before it trusts its peers' highest bundle: until
-	// it heard from JoinPeers peers, or from one for JoinWait. Defaults 3, 3s.
+	// JoinPeers and JoinWait limit how long a new node that can't reach the platform waits before
+	// it trusts the highest bundle of its peers: until it has heard from JoinPeers peers, or until
+	// JoinWait after the first one. A node without a bundle reads the platform itself after half to
+	// one and a half times JoinWait. Defaults 3 and 3s.
 	JoinPeers int
 	JoinWait  time.Duration
-	// FetchTimeout is how long a node waits for a bundle it asked a peer for.
-	// Default 2s.
+	// FetchTimeout is how long a node waits for a bundle that it requested from a peer before it
+	// may request one from another. Default 2s.
 	FetchTimeout time.Duration
-	// Membership tunes the table.
+	// Membership holds the parameters of the membership table.
 	Membership membership.Config
-	// IgnorePauses goes on after a pause as if nothing had passed; only checks
-	// of the checkers set it.
+	// IgnorePauses disables the detection of process pauses. It is set only to verify that the
+	// simulation's checks detect the resulting faults.
 	IgnorePauses bool
-	// AcceptAnyOrder asks for and takes every bundle whatever its number; only
-	// checks of the checkers set it.
+	// AcceptAnyOrder requests and accepts bundles of any number, lower ones too. It is set only to
+	// verify that the simulation's checks detect the resulting faults.
 	AcceptAnyOrder bool
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{
 		TickPeriod:               150 * time.Millisecond,
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -8,89 +8,89 @@
 	"github.com/harriernotch/harriernotch/internal/membership"
 )
 
-// Event is something that happened to the node.
+// Event is an input of the node's state machine.
 type Event interface{ isEvent() }
 
-// Tick comes once every tick period.
+// Tick occurs once every Config.TickPeriod.
 type Tick struct{}
 
-// LinkUp is a new connection with a peer.
+// LinkUp reports a new connection to a peer.
 type LinkUp struct {
 	Link LinkID
-	// Peer is the other node.
+	// Peer is the ID of the other node.
 	Peer string
 	// Dialed is true on the side that opened the connection.
 	Dialed bool
 }
 
-// LinkDown ends a connection, or reports that one could not be made.
+// LinkDown reports that a connection ended or could not be opened.
 type LinkDown struct {
-	// Link is 0 when the connection was never made.
+	// Link is 0 if the connection was never opened.
 	Link LinkID
-	// Address is set when dialing failed.
+	// Address is the dialed address if dialing failed.
 	Address string
-	// Peer is the other node, if known.
+	// Peer is the ID of the other node, if known.
 	Peer string
 }
 
-// Received is a message from a peer.
+// Received is a message received from a peer.
 type Received struct {
 	Link    LinkID
 	Message Message
 }
 
-// LocalLoad is the agent's present load.
+// LocalLoad reports the agent's current load.
 type LocalLoad struct{ Load uint32 }
 
-// LocalState is the node's own decision to leave or to stop.
+// LocalState reports the node's own decision to leave or to stop.
 type LocalState struct{ State membership.State }
 
-// RecordsHeard is news that came with a request or an answer.
+// PiggybackedRecords holds membership records that arrived with a request or an answer.
 type PiggybackedRecords struct {
 	Records []membership.Record
-	// Number is the sender's bundle number.
+	// Number is the number of the sender's bundle.
 	Number uint64
-	// ContactAge is how long ago the sender heard from its peers.
+	// ContactAge is how long ago the sender last heard from any of its peers.
 	ContactAge time.Duration
 }
 
-// Unreachable says that a request could not be sent to the node.
+// NodeUnreachable reports that a connection to the node could not be opened or was lost, as this
+// node or another one has observed.
 type NodeUnreachable struct{ ID string }
 
-// AnsweredLeaving says that the node refused a request since it is leaving.
+// NodeLeaving reports that the node refused a request because it is leaving.
 type NodeLeaving struct{ ID string }
 
 // PlatformBundle is the platform's answer to ReadPlatform.
 type PlatformBundle struct {
-	// Raw is the stored bundle; nil when there is none.
+	// Raw is the stored bundle, or nil if there is none.
 	Raw []byte
-	// Unchanged says that the version named in the read is still the newest.
+	// Unchanged is true if the version named in the read is still the newest.
 	Unchanged bool
 	// Version is the object's version.
 	Version uint64
-	// AskedAt is when the read was sent: the answer was true at some moment
-	// after it.
+	// RequestedAt is when the read was sent. The answer was correct at some moment after it.
 	RequestedAt time.Time
 }
 
-// PlatformFailed says that ReadPlatform got no answer.
+// PlatformFailed reports that ReadPlatform got no answer.
 type PlatformFailed struct{}
 
-// Machine is an entry of the platform's machine list.
+// Machine is an entry in the platform's machine list.
 type Machine struct {
-	// ID is the node on the machine.
+	// ID is the ID of the node on the machine.
 	ID string
 	// Role is the node's role.
 	Role membership.Role
-	// Address is the node's peer listener.
+	// Address is the address of the node's peer listener.
 	Address string
 	// Zone is the machine's zone.
 	Zone string
-	// Leaving says that the machine will stop.
+	// Leaving is true if the machine will stop.
 	Leaving bool
 }
 
-// MachineList is the platform's list of live and leaving machines, which lags.
+// MachineList is the platform's list of running and leaving machines. It may be out of date.
 type MachineList struct{ Machines []Machine }
 
 func (Tick) isEvent()               {}
@@ -106,7 +106,7 @@
 func (PlatformFailed) isEvent()     {}
 func (MachineList) isEvent()        {}
 
-// Action is something that the owner of the node must do.
+// Action is an output of the node's state machine, for the owner of the node to perform.
 type Action interface{ isAction() }
 
 // Send sends a message on a link.
@@ -115,35 +115,34 @@
 	Message Message
 }
 
-// Connect dials a peer.
+// Connect opens a connection to a peer.
 type Connect struct {
 	Address string
-	// Peer is the expected node; "" for a seed.
+	// Peer is the ID of the expected node, or "" for a seed.
 	Peer string
 }
 
 // Disconnect closes a link.
 type Disconnect struct{ Link LinkID }
 
-// ReadPlatform reads the bundle object. The answer comes as PlatformBundle or
-// PlatformFailed.
+// ReadPlatform reads the bundle object. The result is a PlatformBundle or PlatformFailed event.
 type ReadPlatform struct {
-	// After is the version already known; 0 reads at once.
+	// After is the version already known, or 0 to read at once.
 	After uint64
 	// Wait is how long to wait for a version other than After.
 	Wait time.Duration
 }
 
-// ReadMachines reads the machine list. The answer comes as MachineList; a
-// failure needs no answer.
+// ReadMachines reads the machine list. The result is a MachineList event; a failure is not
+// reported.
 type ReadMachines struct{}
 
-// Adopt says that a new bundle is in force.
+// BundleAdopted reports that a new bundle is in force.
 type BundleAdopted struct{ Bundle *bundle.Bundle }
 
-// RefusedBundle says that a bundle was refused; the old one stays in force.
+// BundleRefused reports that a bundle was refused; the old one stays in force.
 type BundleRefused struct {
-	// From is the peer that sent it, or "platform".
+	// From is the ID of the peer that sent it, or "platform".
 	From string
 	Err  *failure.Error
 }
--- a/internal/coordination/gossip.go
+++ b/internal/coordination/gossip.go
@@ -7,7 +7,7 @@
 	"github.com/harriernotch/harriernotch/internal/membership"
 )
 
-// minRecordsPerLink lets every link carry the node's own record and one more.
+// minRecordsPerLink lets each link carry at least the node's own record and one more.
 const minRecordsPerLink = 2
 
 func (n *Node) linkUp(now time.Time, event LinkUp) []Action {
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// gossip sends each link what its peer lacks. A link with nothing new is used
-// only once a heartbeat period, unless forced.
+// gossip sends on each link the records that its peer lacks. A link with nothing new to send
+// carries only one message in each heartbeat period. With force, every link gets a message at once.
 func (n *Node) gossip(now time.Time, force bool) []Action {
 	if len(n.links) == 0 {
 		return nil
@@ -60,8 +60,8 @@
 	return actions
 }
 
-// gossipPeriod is the shortest time between two messages on a link. Half a tick
-// is taken off, so that a tick that comes a little early still counts.
+// gossipPeriod returns the shortest interval between messages on a link while the bundle state is
+// unchanged. It is reduced by half a tick, so that a tick that occurs slightly early still counts.
 func (n *Node) gossipPeriod() time.Duration {
 	period := n.config.GossipPeriod
 	if pool := n.ownPool(); pool != nil {
@@ -70,12 +70,13 @@
 	return max(period, n.config.TickPeriod) - n.config.TickPeriod/2
 }
 
+// bundleState returns the bundle state that a message sent at now carries.
 func (n *Node) bundleState(now time.Time) bundleState {
 	_, confirmed := n.acceptor.ConfirmedAge(now)
 	return bundleState{number: n.acceptor.Number(), confirmed: confirmed}
 }
 
-// message returns a message for the link without records.
+// message returns a message for the link, without records.
 func (n *Node) message(now time.Time, l *link) Message {
 	message := Message{
 		From:               n.identity.ID,
@@ -90,11 +91,12 @@
 	return message
 }
 
-// recordFilter keeps from a link what its peer has no use for. A router needs
-// everything. An agent needs to know that a router exists, in case all of its
-// zone are gone, but signs of life only of its zone's; and the loads of its own
-// pool, which it gets from the pool's own ring: a router passes on to it only
-// which members are leaving.
+// recordFilter returns a filter that omits the records that the link's peer does not need.
+//
+// A router needs all records. An agent needs to know that each router exists, in case all routers
+// in its zone are gone, but it needs heartbeats only from the routers in its zone. It also needs
+// the loads of its own pool. It gets these from the pool's own ring, so a router forwards to it
+// only which members are leaving or have left.
 func (n *Node) recordFilter(l *link) membership.Filter {
 	peer := n.table.Entry(l.peer)
 	peerIsRouter := peer != nil && peer.Role == membership.RoleRouter
@@ -112,7 +114,7 @@
 	}
 }
 
-// poolMembership returns a test for the members of the back end's pool.
+// poolMembership returns a function that reports whether an ID is in the back end's pool.
 func (n *Node) poolMembership(backEnd string) func(string) bool {
 	current := n.Bundle()
 	if current == nil {
@@ -128,7 +130,7 @@
 	}
 }
 
-// zoneOf returns the zone of a back end, or "" when it is unknown.
+// zoneOf returns the zone of a back end, or "" if it is unknown.
 func (n *Node) zoneOf(id string) string {
 	if current := n.Bundle(); current != nil {
 		if _, backEnd := current.Content.PoolOf(id); backEnd != nil {
@@ -162,6 +164,7 @@
 	return append(actions, n.fetchIfBehind(now, l, message.Number)...)
 }
 
+// noteJoinPeer records, while the node is joining, that a peer with a bundle was heard from.
 func (n *Node) noteJoinPeer(now time.Time, message Message) {
 	if n.join.done || message.Number == 0 {
 		return
@@ -172,15 +175,16 @@
 	n.join.peersHeard[message.From] = true
 }
 
-// followOwnRecord takes over what others know about this node's own state, such
-// as that the machine list says it is leaving.
+// adoptOwnState adopts a later state of this node that others reported, such as that the machine
+// list shows it as leaving.
 func (n *Node) adoptOwnState() {
 	n.state = max(n.state, n.table.Self().State)
 }
 
-// noteNumber takes the news of a number and of its confirmation. The age is
-// reckoned from the echoed stamp, not from the arrival: the message may have
-// lain in a buffer, and a confirmation dated too late would stretch the lease.
+// noteBundleNumber records the peer's bundle number and its confirmation. The time of the
+// confirmation is computed from the echoed stamp and not from the arrival of the message: the
+// message may have waited in a buffer, and a confirmation dated too late would extend the lease
+// beyond its end.
 func (n *Node) noteBundleNumber(message Message) {
 	n.acceptor.Heard(message.Number)
 	if message.ConfirmedAgeMillis >= 0 && message.Echo > 0 {
@@ -189,6 +193,7 @@
 	}
 }
 
+// sendBundle answers a peer's request for the bundle.
 func (n *Node) sendBundle(now time.Time, l *link) []Action {
 	current := n.Bundle()
 	if current == nil {
@@ -199,8 +204,7 @@
 	return []Action{Send{Link: l.id, Message: message}}
 }
 
-// fetchIfBehind asks the peer for its bundle if that is newer, unless another
-// peer was asked a moment ago.
+// fetchIfBehind requests the peer's bundle if it is newer, unless a recent request is outstanding.
 func (n *Node) fetchIfBehind(now time.Time, l *link, number uint64) []Action {
 	isNewer := number > n.acceptor.Number()
 	if n.config.AcceptAnyOrder {
@@ -219,7 +223,7 @@
 	return []Action{Send{Link: l.id, Message: message}}
 }
 
-// offer takes a bundle from a peer or the platform into force if it is newer.
+// offerBundle verifies a bundle from a peer and puts it into force if it is newer.
 func (n *Node) offerBundle(now time.Time, from string, raw []byte) []Action {
 	n.fetch = fetchState{}
 	opened, err := n.open(raw)
--- a/internal/coordination/message.go
+++ b/internal/coordination/message.go
@@ -1,9 +1,8 @@
-// Package coordination is the control plane of one node: gossip with a few
-// peers, the spread and acceptance of bundles, and the choice of the nodes that
-// watch the platform.
+// Package coordination implements the control plane of one node: gossip with a few peers, the
+// distribution and acceptance of bundles, and the selection of the nodes that watch the platform.
 //
-// The Node is a state machine without I/O: typed events and the time go in,
-// actions come out. The daemon and the simulation run the same one.
+// Node is a state machine without I/O: its inputs are typed events and the current time, its
+// outputs are actions. The daemon and the simulation run the same code.
 package coordination
 
 import (
@@ -14,38 +13,38 @@
 	"github.com/harriernotch/harriernotch/internal/membership"
 )
 
-// noConfirmation is the wire value of "never confirmed".
+// neverConfirmed is the value of ConfirmedAgeMillis for a bundle that was never confirmed.
 const neverConfirmed = -1
 
-// Message is the one control message between two nodes.
+// Message is the only type of control message between nodes.
 type Message struct {
 	_ struct{} `cbor:",toarray"`
-	// From is the sender.
+	// From is the sender's ID.
 	From string
-	// Number is the sender's bundle number; 0 when it has none.
+	// Number is the number of the sender's bundle, or 0 if it has none.
 	Number uint64
-	// ConfirmedAgeMillis tells how long ago Number was known to be the
-	// platform's newest; -1 when never.
+	// ConfirmedAgeMillis is how long ago Number was last known to be the platform's newest, or -1
+	// if it never was.
 	ConfirmedAgeMillis int64
-	// Stamp is the sender's clock in milliseconds since its start, at least 1.
+	// Stamp is the time in milliseconds since the sender's start, at least 1.
 	Stamp int64
-	// Echo is the last Stamp that the sender received on this link, or 0. It
-	// proves that this message was made after that moment of the receiver's
-	// clock, however long it lay in a buffer since.
+	// Echo is the latest Stamp that the sender received on this link, or 0. It proves that this
+	// message was created after that moment of the receiver's clock, however long the message has
+	// waited in a buffer since.
 	Echo int64
-	// Want asks for the sender's bundle.
+	// Want requests the receiver's bundle.
 	Want bool
-	// Records are news of nodes.
+	// Records are membership records that the receiver lacks.
 	Records []membership.Record
-	// Bundle is a signed bundle, in answer to Want.
+	// Bundle is the sender's signed bundle, in answer to Want.
 	Bundle []byte
 }
 
-// MaxMessageSize is the largest encoded message in bytes: one bundle and some
+// MaxMessageSize is the largest encoded message in bytes. It leaves room for one bundle and some
 // records.
 const MaxMessageSize = bundle.MaxSize + 1<<16
 
-// maxRecordsPerMessage bounds what a peer may send at once.
+// maxRecordsPerMessage limits the records that a peer may send in one message.
 const maxRecordsPerMessage = 4096
 
 var decodeMode = mustDecodeMode()
@@ -53,22 +52,22 @@
 func mustDecodeMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: maxRecordsPerMessage, MaxNestedLevels: 8}.DecMode()
 	if err != nil {
-		panic(err) // fixed options; can't fail at run time
+		panic(err) // the options are constant, so this can't fail at run time
 	}
 	return mode
 }
 
-// Encode returns the message's wire form.
+// Encode returns the encoded message.
 func (m Message) Encode() ([]byte, error) { return cbor.Marshal(m) }
 
-// DecodeMessage parses a message that a peer sent.
+// DecodeMessage decodes a message received from a peer.
 func DecodeMessage(raw []byte) (Message, error) {
 	if len(raw) > MaxMessageSize {
-		return Message{}, failure.New(failure.InvalidRequest, "the control message is too large")
+		return Message{}, failure.New(failure.InvalidRequest, "the control message exceeds the size limit")
 	}
 	var message Message
 	if err := decodeMode.Unmarshal(raw, &message); err != nil {
-		return Message{}, failure.Wrap(failure.InvalidRequest, err, "not a control message")
+		return Message{}, failure.Wrap(failure.InvalidRequest, err, "decode the control message")
 	}
 	return message, nil
 }
--- a/internal/coordination/message_test.go
+++ b/internal/coordination/message_test.go
@@ -37,10 +37,10 @@
 			return
 		}
 		if len(message.Records) > maxRecordsPerMessage {
-			t.Fatal("too many records were taken")
+			t.Fatal("the decoded message has more records than the limit")
 		}
 		if _, err := message.Encode(); err != nil {
-			t.Fatalf("what was decoded can't be encoded: %v", err)
+			t.Fatalf("the decoded message can't be encoded: %v", err)
 		}
 	})
 }
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -7,22 +7,22 @@
 	"github.com/harriernotch/harriernotch/internal/membership"
 )
 
-// Identity is what a node is from its settings.
+// Identity identifies and locates a node. It comes from the node's settings.
 type Identity struct {
-	// ID is unique in the fleet; an agent's is its back end's.
+	// ID is unique in the fleet. An agent has the ID of its back end.
 	ID string
 	// Role is the node's role.
 	Role membership.Role
-	// Address is the peer listener.
+	// Address is the address of the node's peer listener.
 	Address string
-	// Region and Zone place the node.
+	// Region and Zone are the node's location.
 	Region string
 	Zone   string
-	// Seeds are peer addresses to try while no other is known.
+	// Seeds are the peer addresses to dial while the node has no link.
 	Seeds []string
 }
 
-// LinkID identifies one connection to a peer for the life of the process.
+// LinkID identifies a connection to a peer. It is unique within the process.
 type LinkID uint64
 
 // Opener verifies a signed bundle.
@@ -36,11 +36,12 @@
 	gossip     *membership.Link
 	sentAt     time.Time
 	sentBundle bundleState
-	// stamp is the peer's last Stamp.
+	// stamp is the latest Stamp received from the peer.
 	stamp int64
 }
 
-// news is what every message carries beside records.
+// bundleState is the information on the bundle in a message whose change is sent at the next tick,
+// without waiting for the gossip period.
 type bundleState struct {
 	number    uint64
 	confirmed bool
@@ -63,15 +64,15 @@
 	heartbeatAt time.Time
 	contactAt   time.Time
 	nextSeed    int
-	// peersAt is when the peers were last reviewed.
+	// peersReviewedAt is when the wanted peers were last determined.
 	peersReviewedAt time.Time
 	watcher         bool
-	// routersKnown is the number of routers at the last review.
+	// routerCount is the number of other routers known at peersReviewedAt.
 	routerCount int
 	clock       pauseClock
 }
 
-// joinState follows a fresh node until it may trust its bundle.
+// joinState is the state of a new node until it may trust its bundle.
 type joinState struct {
 	startedAt        time.Time
 	firstPeerAt      time.Time
@@ -80,13 +81,13 @@
 	done             bool
 }
 
-// fetchState is the one outstanding request for a bundle.
+// fetchState is the outstanding request for a bundle, of which there is at most one.
 type fetchState struct {
 	link LinkID
 	at   time.Time
 }
 
-// NewNode returns a node that starts at the time, without a bundle.
+// NewNode returns a node that starts at now without a bundle.
 func NewNode(config Config, identity Identity, open Opener, acceptor *bundle.Acceptor, now time.Time) *Node {
 	self := membership.Record{
 		ID:          identity.ID,
@@ -110,34 +111,36 @@
 	}
 }
 
-// Bundle returns the version in force, or nil.
+// Bundle returns the bundle in force, or nil.
 func (n *Node) Bundle() *bundle.Bundle { return n.acceptor.Current() }
 
 // Table returns the node's view of the fleet.
 func (n *Node) Table() *membership.Table { return n.table }
 
-// HoldsLease tells whether keyed unrepeatable requests may run here.
+// HoldsLease reports whether this node may run keyed requests that must not be repeated.
 func (n *Node) HoldsLease(now time.Time) bool { return n.acceptor.HoldsLease(now) }
 
-// ConfirmedAge returns how long ago the bundle was known to be the newest.
+// ConfirmedAge returns how long ago the bundle in force was last known to be the newest. The
+// boolean is false if it never was.
 func (n *Node) ConfirmedAge(now time.Time) (time.Duration, bool) { return n.acceptor.ConfirmedAge(now) }
 
-// ContactAge returns how long ago any peer was heard.
+// ContactAge returns how long ago this node last heard from any peer. The contacts that senders of
+// piggybacked records report count too.
 func (n *Node) ContactAge(now time.Time) time.Duration { return now.Sub(n.contactAt) }
 
-// FreshContact tells whether a peer is known to have spoken since the process
-// last woke from a pause. Until then the node must not rely on what it knew.
+// HasFreshContact reports whether a peer is known to have sent a message since the process last
+// resumed after a pause. Until then the node must not rely on its state.
 func (n *Node) HasFreshContact() bool { return !n.clock.lastEchoAt.Before(n.clock.resumedAt) }
 
-// AwakeSince returns when the process started or last woke from a pause. What it
-// knew before may be long out of date.
+// RunningSince returns when the process started or last resumed after a pause. Information from
+// before that time may be long out of date.
 func (n *Node) RunningSince() time.Time { return n.clock.runningSince() }
 
 // Links returns the number of open connections.
 func (n *Node) Links() int { return len(n.links) }
 
-// Ready tells whether the node has a bundle that it may trust to be no older
-// than the one it had before a restart.
+// Ready reports whether the node has a bundle that it may trust to be no older than the one it had
+// before a restart.
 func (n *Node) Ready(now time.Time) bool {
 	if n.Bundle() == nil {
 		return false
@@ -146,7 +149,8 @@
 	return n.join.done
 }
 
-// updateJoin ends the joining once the platform answered, or enough peers did.
+// updateJoin completes the join once the node has the highest bundle that it heard of, and the
+// platform answered, enough peers were heard from, or JoinWait has passed since the first one.
 func (n *Node) updateJoin(now time.Time) {
 	if n.join.done || n.Bundle() == nil || n.acceptor.Behind() {
 		return
@@ -155,7 +159,7 @@
 	n.join.done = n.join.platformAnswered || len(n.join.peersHeard) >= n.config.JoinPeers || waitedLong
 }
 
-// Step takes one event and returns the actions that it causes.
+// Step processes one event and returns the resulting actions.
 func (n *Node) Step(now time.Time, event Event) []Action {
 	n.clock.step(now, n.config.IgnorePauses)
 	switch e := event.(type) {
@@ -188,8 +192,9 @@
 	return nil
 }
 
-// recordsHeard takes news that came with traffic. Right after a pause it may
-// have lain in a buffer, so it is left aside until a peer has answered.
+// piggybackedRecords merges records that arrived with a request or an answer. After a pause they
+// may have waited in a buffer, so they are ignored until a peer has answered a message sent since.
+// The bundle number is recorded in any case.
 func (n *Node) piggybackedRecords(now time.Time, event PiggybackedRecords) {
 	n.acceptor.Heard(event.Number)
 	if !n.HasFreshContact() {
@@ -211,6 +216,7 @@
 	}
 }
 
+// tick runs the periodic work: expiry, heartbeat, peers, gossip and platform calls.
 func (n *Node) tick(now time.Time) []Action {
 	n.table.Expire(now)
 	n.heartbeat(now)
@@ -219,7 +225,8 @@
 	return append(actions, n.readPlatform(now)...)
 }
 
-// beat makes a new record when the load has changed, or as a sign of life.
+// heartbeat updates the node's own record if its load or bundle has changed or the longest
+// heartbeat period has passed.
 func (n *Node) heartbeat(now time.Time) {
 	shortest, longest := n.heartbeatPeriods()
 	since := now.Sub(n.heartbeatAt)
@@ -231,8 +238,9 @@
 	}
 }
 
-// beatPeriods stretch with the number of nodes that every beat must reach, so
-// that the records a node receives each second stay bounded.
+// heartbeatPeriods returns the shortest interval between heartbeats, for a changed record, and the
+// longest, for an unchanged one. They grow with the number of nodes that each heartbeat must reach,
+// so that the number of records that a node receives each second stays bounded.
 func (n *Node) heartbeatPeriods() (shortest, longest time.Duration) {
 	if n.identity.Role == membership.RoleRouter {
 		longest = max(n.config.HeartbeatPeriod, time.Duration(n.routerCount)*n.config.RouterHeartbeatPerRouter)
@@ -245,8 +253,7 @@
 	return min(shortest, n.config.HeartbeatPeriod), n.config.HeartbeatPeriod
 }
 
-// countRouters notes the number of routers; it is needed too often to be counted
-// each time.
+// countRouters updates routerCount, which is used too often to be counted each time.
 func (n *Node) countRouters() {
 	count := 0
 	n.table.Entries(func(entry *membership.Entry) {
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -10,22 +10,22 @@
 	"github.com/harriernotch/harriernotch/internal/routing"
 )
 
-// redialAfter is the pause before an address that failed is dialed again.
+// redialDelay is the shortest interval between two attempts to dial an address.
 const redialDelay = time.Second
 
-// peer is a node that can be dialed.
+// peer is a node that this node can dial.
 type peer struct {
 	id      string
 	address string
-	// live is false while the node is silent or unreachable.
+	// alive is false while the node is silent or unreachable.
 	alive bool
 }
 
-// reviewPeriod is the time between two reviews of the node's peers.
+// peerReviewPeriod is the interval between reviews of the node's peers.
 const peerReviewPeriod = 500 * time.Millisecond
 
-// maintainPeers reviews the peers and the watchers now and then: both need a
-// walk over the whole table.
+// maintainPeers reviews the node's peers and whether it is a watcher. It does so only once every
+// peerReviewPeriod, since both iterate over the whole table.
 func (n *Node) maintainPeers(now time.Time) []Action {
 	if now.Sub(n.peersReviewedAt) < peerReviewPeriod {
 		return nil
@@ -36,15 +36,14 @@
 	return n.connectPeers(now)
 }
 
-// connectPeers dials the peers that the node should have and lacks, and closes
-// links it dialed that are no longer wanted.
+// connectPeers dials the wanted peers that are not linked, and closes the links that the node
+// dialed and no longer wants.
 //
-// Every group of nodes (the agents of a pool, the routers of a zone, all
-// routers) forms a ring in hash order, so the graph is connected whatever the
-// other links are; one chord for each node keeps paths short. The ring over the
-// live nodes keeps news going at once when some have died; the ring over all,
-// silent ones included, joins islands again that lost sight of each other. An agent also
-// links to a router of its zone, which ties the pools together.
+// Each group of nodes (the agents of a pool, the routers of a zone, all routers) forms a ring in
+// hash order, so its graph is connected regardless of the other links. One chord per node keeps
+// paths short. The ring over the alive nodes lets gossip continue at once when some nodes have
+// died. The ring over all nodes, silent ones included, reconnects partitions that had lost contact
+// with each other. An agent also links to a router of its zone, which connects the pools.
 func (n *Node) connectPeers(now time.Time) []Action {
 	wanted := n.wantedPeers(now)
 	if len(wanted) == 0 && len(n.links) == 0 {
@@ -62,7 +61,7 @@
 	return append(actions, n.dropUnwanted(wanted)...)
 }
 
-// dialSeed tries the seeds in turn while the node has no link.
+// dialSeed dials the next seed, in turn, that may be dialed. It is used while the node has no link.
 func (n *Node) dialSeed(now time.Time) []Action {
 	for range n.identity.Seeds {
 		address := n.identity.Seeds[n.nextSeed%len(n.identity.Seeds)]
@@ -74,7 +73,8 @@
 	return nil
 }
 
-// mayDial allows one dial to an address in each pause and notes it.
+// mayDial reports whether the address may be dialed now, and if so records the attempt. An address
+// may be dialed once every redialDelay, counted from the last attempt or failure.
 func (n *Node) mayDial(now time.Time, address string) bool {
 	if at, tried := n.dialedAt[address]; tried && now.Sub(at) < redialDelay {
 		return false
@@ -87,8 +87,8 @@
 	return slices.ContainsFunc(n.links, func(l *link) bool { return l.peer == id })
 }
 
-// dropUnwanted closes the links that the node dialed and no longer needs, such
-// as one to a seed, once all that it wants are open.
+// dropUnwanted closes the links that the node dialed and no longer needs, such as one to a seed,
+// once it has links to all wanted peers that are alive.
 func (n *Node) dropUnwanted(wanted []peer) []Action {
 	if slices.ContainsFunc(wanted, func(p peer) bool { return p.alive && !n.isLinked(p.id) }) {
 		return nil
@@ -110,7 +110,7 @@
 	return n.wantedByAgent(now)
 }
 
-// routersPerAgent is the number of routers that an agent links to.
+// routersPerAgent is the number of routers in its zone that an agent links to.
 const routersPerAgent = 1
 
 func (n *Node) wantedByAgent(now time.Time) []peer {
@@ -128,9 +128,9 @@
 	return wanted
 }
 
-// anyRouter returns one router of any zone, for an agent whose zone has no live
-// one: one that it is linked with and hears from, else the one whose last dial
-// is longest ago, so that all are tried in turn.
+// fallbackRouter returns one router of any zone, for an agent whose zone has none that is alive.
+// It returns an alive router that the agent is linked to, or else the router whose last dial is
+// longest ago, so that all are tried in turn.
 func (n *Node) fallbackRouter(now time.Time) []peer {
 	all := rankPeers("router/"+n.identity.ID, n.routers(now, ""))
 	for _, p := range all {
@@ -151,8 +151,8 @@
 	return append(wanted, ringPeers(n.identity.ID, n.routers(now, ""))...)
 }
 
-// poolPeers lists the other agents of the node's pool that may be alive. One
-// never heard of counts as alive: it may be starting.
+// poolPeers returns the other agents of the node's pool, except those that are leaving or have
+// left. An agent that was never heard of counts as alive, since it may be starting.
 func (n *Node) poolPeers(now time.Time) []peer {
 	pool := n.ownPool()
 	if pool == nil {
@@ -174,7 +174,7 @@
 	return peers
 }
 
-// routers lists the other routers of the zone, or of all zones when zone is "".
+// routers returns the other serving routers in the zone, or in all zones if zone is "".
 func (n *Node) routers(now time.Time, zone string) []peer {
 	var peers []peer
 	n.table.Entries(func(entry *membership.Entry) {
@@ -188,15 +188,15 @@
 	return peers
 }
 
-// isLiveRouter takes a router for alive for longer than an agent, since a
-// router's records come more rarely in a large fleet.
+// isRouterAlive reports whether the router counts as alive. A router may be silent for longer than
+// an agent, since routers send their records less often in a large fleet.
 func (n *Node) isRouterAlive(now time.Time, entry *membership.Entry) bool {
 	allowed := 4 * max(n.config.HeartbeatPeriod, time.Duration(n.routerCount)*n.config.RouterHeartbeatPerRouter)
 	return now.Sub(entry.RecordedAt) <= max(allowed, n.config.Membership.SilentAfter)
 }
 
-// ringPeers returns the next node in hash order, the next live one, and one live
-// chord.
+// ringPeers returns the next node on the ring, the next alive node if it is another one, and one
+// more alive node as a chord.
 func ringPeers(self string, others []peer) []peer {
 	if len(others) == 0 {
 		return nil
@@ -219,11 +219,11 @@
 	return wanted
 }
 
-// ringNext returns the next node in hash order.
+// ringNext returns the node that follows self on the ring, in hash order.
 func ringNext(self string, others []peer) peer {
 	selfHash := xxhash.Sum64String(self)
 	return slices.MinFunc(others, func(a, b peer) int {
-		// Unsigned wrap-around makes the distance that of a ring.
+		// The unsigned subtraction wraps around, which gives the distance on the ring.
 		distanceA := xxhash.Sum64String(a.id) - selfHash
 		distanceB := xxhash.Sum64String(b.id) - selfHash
 		if distanceA < distanceB {
@@ -233,6 +233,7 @@
 	})
 }
 
+// rankPeers returns the peers in the order in which routing.Rank ranks their IDs for the key.
 func rankPeers(key string, peers []peer) []peer {
 	ids := make([]string, len(peers))
 	byID := make(map[string]peer, len(peers))
--- a/internal/coordination/platform.go
+++ b/internal/coordination/platform.go
@@ -11,22 +11,21 @@
 	"github.com/harriernotch/harriernotch/internal/routing"
 )
 
-// platformState follows the calls to the platform.
+// platformState is the state of the calls to the platform.
 type platformState struct {
-	// reading is true while a call is under way.
+	// reading is true while a read of the bundle object is outstanding.
 	reading bool
-	// version is the bundle object's version last seen.
+	// version is the last known version of the bundle object.
 	version uint64
-	// notBefore is when the next call may be made.
+	// notBefore is the earliest time of the next read of the bundle object.
 	notBefore      time.Time
 	backoff        time.Duration
 	failures       uint64
 	machinesReadAt time.Time
 }
 
-// readPlatform issues the platform calls that are due. Only watchers call it as
-// a matter of course; any other node does so only while it has no bundle and
-// its peers gave none.
+// readPlatform returns the platform calls that are due. Only watchers read the platform regularly.
+// Any other node reads it only while it has no bundle and its peers have provided none.
 func (n *Node) readPlatform(now time.Time) []Action {
 	var actions []Action
 	if (n.watcher || n.needsPlatform(now)) && !n.platform.reading && !now.Before(n.platform.notBefore) {
@@ -44,9 +43,9 @@
 	return actions
 }
 
-// needsPlatform tells whether a node that doesn't watch should read once: it
-// has joined nothing, and has waited for peers. The wait is spread by the
-// node's name, so that a zone that returns doesn't call all at once.
+// needsPlatform reports whether a node that is not a watcher should read the platform: it has no
+// bundle, the platform has not answered it yet, and it has waited for its peers. The wait depends
+// on the node's ID, so that the nodes of a zone that comes back don't all call at once.
 func (n *Node) needsPlatform(now time.Time) bool {
 	if n.join.platformAnswered || n.Bundle() != nil {
 		return false
@@ -55,7 +54,7 @@
 	return now.Sub(n.join.startedAt) >= n.config.JoinWait/2+jitter
 }
 
-// spread returns a number from 0 to 1 that depends on the node and the salt.
+// hashFraction returns a number in [0, 1) that is derived from the node's ID and the salt.
 func (n *Node) hashFraction(salt uint64) float64 {
 	hash := xxhash.Sum64String(n.identity.ID) ^ (salt * 0x9e3779b97f4a7c15)
 	return float64(xxhash.Sum64([]byte{
@@ -64,9 +63,9 @@
 	})>>11) / (1 << 53)
 }
 
-// isWatcher tells whether this router is among the few of its zone that watch
-// the platform. Every router reckons it from its own view; when views differ
-// for a moment there are a few watchers more or fewer, which harms nothing.
+// isWatcher reports whether this node is one of the few routers in its zone that watch the
+// platform. Each router decides from its own view. While views differ, there may be a few more or
+// fewer watchers, which does no harm.
 func (n *Node) isWatcher(now time.Time) bool {
 	if n.identity.Role != membership.RoleRouter || n.state != membership.StateServing {
 		return false
@@ -99,7 +98,7 @@
 		return nil
 	}
 	if event.Raw == nil {
-		// Nothing was published yet: look again, without haste.
+		// Nothing has been published yet; read again after one heartbeat period.
 		n.platform.notBefore = now.Add(n.config.HeartbeatPeriod)
 		return nil
 	}
@@ -129,8 +128,8 @@
 	return n.acceptor.OfferOpened(opened)
 }
 
-// refusal reports a refused bundle. One that is merely not newer is the normal
-// end of a race between two sources and needs no report.
+// reportRefusal reports a refused bundle. A bundle from a peer that is merely not newer is not
+// reported: it is the normal result of a race between two sources.
 func (n *Node) reportRefusal(from string, err error) []Action {
 	typed := failure.From(err)
 	if typed.Kind == failure.StaleBundle && from != "platform" {
@@ -139,7 +138,8 @@
 	return []Action{BundleRefused{From: from, Err: typed}}
 }
 
-// platformFailed backs off with jitter, so that an outage's end meets no storm.
+// platformFailed delays the next read with exponential backoff and jitter, so that the nodes don't
+// all call at once when an outage ends.
 func (n *Node) platformFailed(now time.Time) {
 	n.platform.reading = false
 	n.platform.failures++
@@ -148,8 +148,8 @@
 	n.platform.notBefore = now.Add(time.Duration(jitter * float64(n.platform.backoff)))
 }
 
-// machineList takes the list as a hint: routers it names may be dialed, and a
-// node that it calls leaving is told so and gets no new work.
+// machineList uses the list as a hint: unknown routers in it are added and may be dialed, and a
+// node that it shows as leaving is marked so, gets no new work, and learns of it by gossip.
 func (n *Node) machineList(now time.Time, event MachineList) {
 	for _, machine := range event.Machines {
 		if machine.ID == n.identity.ID {
@@ -168,8 +168,8 @@
 	}
 }
 
-// learnRouter adds a router from the list with the lowest incarnation: whatever
-// the router says about itself replaces it.
+// addRouter adds a router from the list with the lowest incarnation, so that any record from the
+// router itself replaces it.
 func (n *Node) addRouter(now time.Time, machine Machine) {
 	n.table.Merge(now, []membership.Record{{
 		ID: machine.ID, Role: membership.RoleRouter, Address: machine.Address, Zone: machine.Zone,
--- a/internal/membership/damping.go
+++ b/internal/membership/damping.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// damper keeps a flapping node from being trusted at every return. Each loss
-// adds a penalty that decays by half in a fixed time, as in BGP route flap
-// damping (RFC 2439).
+// damper keeps a flapping node from being trusted each time it returns. Each loss adds a penalty
+// that decays exponentially, as in BGP route flap damping (RFC 2439).
 type damper struct {
 	penalty    float64
 	decayedAt  time.Time
@@ -15,18 +14,18 @@
 }
 
 const (
-	// dampingHalfLife halves the penalty.
+	// penaltyHalfLife is the time in which the penalty decays by half.
 	penaltyHalfLife = 30 * time.Second
-	// dampingSuppress is the penalty above which the node is doubtful.
+	// suppressThreshold is the penalty above which the node is suppressed.
 	suppressThreshold = 2.5
-	// dampingReuse is the penalty below which it is trusted again.
+	// reuseThreshold is the penalty below which the node is trusted again.
 	reuseThreshold = 1.0
-	// dampingMaximum bounds the penalty, and so the longest suppression to
-	// about two half-lives.
+	// maxPenalty limits the penalty, and so the suppression after the last loss to about two
+	// half-lives.
 	maxPenalty = 4.0
 )
 
-// lost adds the penalty of one loss.
+// addPenalty adds the penalty of one loss.
 func (d *damper) addPenalty(now time.Time) {
 	d.decay(now)
 	d.penalty = math.Min(d.penalty+1, maxPenalty)
@@ -35,7 +34,7 @@
 	}
 }
 
-// isSuppressed tells whether the node is still doubtful.
+// isSuppressed reports whether the node is still suppressed.
 func (d *damper) isSuppressed(now time.Time) bool {
 	if !d.suppressed {
 		return false
@@ -47,6 +46,7 @@
 	return d.suppressed
 }
 
+// decay reduces the penalty by the time since the last call.
 func (d *damper) decay(now time.Time) {
 	if !d.decayedAt.IsZero() {
 		halvings := now.Sub(d.decayedAt).Seconds() / penaltyHalfLife.Seconds()
--- a/internal/membership/link.go
+++ b/internal/membership/link.go
@@ -6,24 +6,23 @@
 	"time"
 )
 
-// position is the place of a record in its node's own order.
+// recordVersion is the part of a record that orders the records of one node; see newer.
 type recordVersion struct {
 	incarnation Incarnation
 	state       State
 	beat        uint32
 }
 
-// Link is the gossip state towards one peer. It remembers which record of each
-// node the peer has, so that every record crosses a link at most once in either
-// direction.
+// Link is the gossip state of a connection to one peer. It tracks which record of each node the
+// peer has, so that a record that crossed the link in either direction is not sent again.
 type Link struct {
 	known map[string]recordVersion
 }
 
-// NewLink returns the state of a fresh connection.
+// NewLink returns the state of a new connection.
 func NewLink() *Link { return &Link{known: map[string]recordVersion{}} }
 
-// Received notes the records that came from the peer.
+// Received marks records that came from the peer as known to it.
 func (l *Link) Received(records []Record) {
 	for _, record := range records {
 		l.markKnown(record)
@@ -41,16 +40,15 @@
 	return newer(record, Record{Incarnation: known.incarnation, State: known.state, Beat: known.beat})
 }
 
-// Filter tells whether a record should cross a link. changed says that the peer
-// has not heard of this incarnation, or that the node no longer serves.
+// Filter reports whether a record should be sent on a link. changed is true if the peer does not
+// know this incarnation of the node, or if the node no longer serves.
 type Filter func(record Record, changed bool) bool
 
-// Pending returns up to limit records that the peer lacks and accept takes, and
-// counts them as sent. The node's own record goes first. Among the others those
-// come first that the peer has never heard of or that changed state or
-// incarnation, then the latest. Routers get a quarter of the places, so that
-// neither a flood of new routers holds up the loads of agents, nor the loads of
-// many agents the news of routers.
+// Pending returns up to limit records that the peer lacks and the filter accepts, and marks them as
+// sent. The node's own record comes first and is not filtered. The others are divided between
+// agents and routers: a quarter of the slots is reserved for routers, so that neither many new
+// routers delay the loads of agents, nor the loads of many agents delay the records of routers.
+// Within each group, changed records (see Filter) come first, then the latest.
 func (l *Link) Pending(now time.Time, table *Table, limit int, filter Filter) []Record {
 	var records []Record
 	if self := table.Self(); l.peerLacks(self) {
@@ -84,11 +82,11 @@
 	changed bool
 }
 
-// routerShare is the part of the places, one in so many, that routers get.
+// routerShare reserves one slot in this many for routers.
 const routerShare = 4
 
-// share divides the places between agents and routers. What one side doesn't
-// need the other gets.
+// allocateSlots divides the slots between agents and routers. Slots that one group does not need
+// go to the other.
 func allocateSlots(agents, routers []pendingRecord, slots int) []pendingRecord {
 	slices.SortStableFunc(agents, comparePending)
 	slices.SortStableFunc(routers, comparePending)
@@ -98,6 +96,7 @@
 	return append(taken, routers[:min(len(routers), left)]...)
 }
 
+// comparePending orders changed records before others, and later ones before earlier ones.
 func comparePending(a, b pendingRecord) int {
 	if a.changed != b.changed {
 		if a.changed {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -50,7 +50,7 @@
 	table.Merge(later, []Record{{ID: "e1", Incarnation: 1, Beat: 2}})
 	is.Equal(table.Liveness(later, table.Entry("e1")), Alive)
 	table.Merge(later, []Record{{ID: "e1", Incarnation: 1, Beat: 3, AgeMillis: 6000}})
-	is.Equal(table.Liveness(later, table.Entry("e1")), Doubtful) // old news is no sign of life
+	is.Equal(table.Liveness(later, table.Entry("e1")), Doubtful) // the record is newer, but too old to show that the node is alive
 }
 
 func TestFlappingNodeIsDampedUntilPenaltyDecays(t *testing.T) {
@@ -85,7 +85,7 @@
 	is := is.New(t)
 	table := newTable()
 	table.Merge(start, []Record{{ID: "self", Incarnation: 4, State: StateLeaving}})
-	is.Equal(table.Self().State, StateServing) // that was an earlier incarnation
+	is.Equal(table.Self().State, StateServing) // the record is of an earlier incarnation
 	table.Merge(start, []Record{{ID: "self", Incarnation: 5, State: StateLeaving}})
 	is.Equal(table.Self().State, StateLeaving)
 	is.True(!table.Superseded())
@@ -108,11 +108,11 @@
 	table := newTable()
 	link := NewLink()
 	table.Merge(start, []Record{{ID: "e1", Incarnation: 1, Beat: 1}, {ID: "e2", Incarnation: 1, Beat: 1}})
-	is.Equal(len(link.Pending(start, table, 10, acceptAll)), 3) // with the node's own
+	is.Equal(len(link.Pending(start, table, 10, acceptAll)), 3) // including the node's own record
 	is.Equal(len(link.Pending(start, table, 10, acceptAll)), 0)
 	link.Received([]Record{{ID: "e1", Incarnation: 1, Beat: 2}})
 	table.Merge(start, []Record{{ID: "e1", Incarnation: 1, Beat: 2}})
-	is.Equal(len(link.Pending(start, table, 10, acceptAll)), 0) // the peer told it itself
+	is.Equal(len(link.Pending(start, table, 10, acceptAll)), 0) // the peer sent this record itself
 }
 
 func TestLinkSendsStateChangesBeforeLoads(t *testing.T) {
@@ -138,7 +138,7 @@
 			{ID: fmt.Sprint("r", i), Role: RoleRouter, Incarnation: 1},
 		})
 	}
-	pending := link.Pending(start, table, 9, acceptAll) // the node's own and eight more
+	pending := link.Pending(start, table, 9, acceptAll) // the node's own record and eight more
 	routers := 0
 	for _, record := range pending {
 		if record.Role == RoleRouter {
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -1,79 +1,81 @@
-// Package membership keeps each node's view of the others: who is there, in
-// which incarnation, whether it takes new work, and how loaded it is. Nodes
-// spread records by gossip; a newer record of a node replaces an older one.
+// Package membership maintains a node's view of the other nodes: which exist, their incarnations,
+// whether they accept new work, and their loads. Nodes spread records by gossip; a newer record of
+// a node replaces an older one.
 //
-// The package does no I/O and reads no clock.
+// The package performs no I/O and reads no clock.
 package membership
 
 import "time"
 
-// Role tells what a node does.
+// Role is the function of a node.
 type Role uint8
 
-// The roles.
+// The values of Role.
 const (
-	// RoleAgent stands before one back end; the record's ID is the back end's.
+	// RoleAgent is an agent in front of one back end. Its ID is that of the back end.
 	RoleAgent Role = iota
-	// RoleRouter takes callers' requests.
+	// RoleRouter is a router, which accepts callers' requests.
 	RoleRouter
 )
 
-// State is what a node says about itself.
+// State is a node's lifecycle state.
 type State uint8
 
-// The states, in the order in which a node passes through them.
+// The values of State, in the order in which a node passes through them.
 const (
-	// StateServing takes new work.
+	// StateServing nodes accept new work.
 	StateServing State = iota
-	// StateLeaving takes no new work and finishes what it has.
+	// StateLeaving nodes accept no new work and finish what they have.
 	StateLeaving
-	// StateLeft has stopped.
+	// StateLeft nodes have stopped.
 	StateLeft
 )
 
-// Incarnation counts tenths of a second since 2025 at a node's start. It fits
-// four bytes until 2038 and rises with every restart.
+// Incarnation identifies one run of a node by its start time, in tenths of a second since the start
+// of 2025. It increases with every restart and fits into four bytes until 2038.
 type Incarnation uint32
 
-// incarnationEpoch is 2025-01-01 in Unix milliseconds.
 const (
+	// incarnationEpoch is 2025-01-01 in Unix milliseconds.
 	incarnationEpoch = 1735689600000
-	incarnationUnit  = 100
+	// incarnationUnit is the unit of Incarnation in milliseconds.
+	incarnationUnit = 100
 )
 
-// IncarnationAt returns the incarnation of a node that starts at the time.
+// IncarnationAt returns the incarnation of a node that starts at the given time.
 func IncarnationAt(start time.Time) Incarnation {
 	return Incarnation((start.UnixMilli() - incarnationEpoch) / incarnationUnit)
 }
 
-// Record is what a node says about itself at one moment.
+// Record describes a node at one moment. Nodes create their own records and forward those of
+// others; others may only advance the state (see Table.MarkLeaving).
 type Record struct {
 	_ struct{} `cbor:",toarray"`
 	// ID is unique in the fleet.
 	ID string
 	// Role is the node's role.
 	Role Role
-	// State is the node's own word.
+	// State is the node's state.
 	State State
-	// Incarnation, State and Beat order a node's records; see newer.
+	// Incarnation, State and Beat order the records of one node; see newer. Beat counts the
+	// node's updates of its own record.
 	Incarnation Incarnation
 	Beat        uint32
-	// Load is an agent's accepted and unfinished requests.
+	// Load is the number of an agent's accepted and unfinished requests.
 	Load uint32
-	// Number is the number of the node's bundle.
+	// Number is the number of the node's bundle, or 0 if it has none.
 	Number uint64
-	// Address is the peer listener of a router; agents' addresses stand in the
-	// bundle.
+	// Address is the address of a router's peer listener. The bundle has those of agents.
 	Address string
-	// Zone is a router's zone; agents' zones stand in the bundle.
+	// Zone is a router's zone. The bundle has those of agents.
 	Zone string
-	// AgeMillis is how old the record was when it was sent.
+	// AgeMillis is the age of the record when it was sent.
 	AgeMillis uint32
 }
 
-// newer tells whether a replaces b. Within an incarnation a node's state only
-// advances, so a later state wins over any beat: whoever learns from the machine
-// list that a node is leaving can say so for it.
+// newer reports whether a replaces b. Within an incarnation a node's state only advances, so a
+// later state takes precedence over any beat. Thus a node that learns from the machine list that
+// another is leaving can mark it as leaving on its behalf.
 func newer(a, b Record) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// Config tunes a table.
+// Config holds the parameters of a table.
 type Config struct {
-	// SilentAfter is how long a node may be silent before it is doubtful. It
-	// must cover a few beats and the time that gossip takes. Default 4s.
+	// SilentAfter is the age of a node's latest record above which the node is doubtful. It must
+	// cover a few heartbeats and the time that gossip takes. Default 4s.
 	SilentAfter time.Duration
-	// ForgetAfter is how long a silent node is kept. Default 10m.
+	// ForgetAfter is the age of a node's latest record above which the node is removed. Default
+	// 10m.
 	ForgetAfter time.Duration
-	// UnreachableFor is how long a node stays doubtful after a failed
-	// connection. Default 2s.
+	// UnreachableFor is how long a node stays doubtful after a failed connection. Default 2s.
 	UnreachableFor time.Duration
-	// NoDamping trusts a flapping node at every return; for measurement.
+	// NoDamping disables flap damping, for measurements: a flapping node is trusted each time it
+	// returns.
 	NoDamping bool
 }
 
-// DefaultConfig returns the defaults.
+// DefaultConfig returns the default parameters.
 func DefaultConfig() Config {
 	return Config{SilentAfter: 4 * time.Second, ForgetAfter: 10 * time.Minute, UnreachableFor: 2 * time.Second}
 }
 
-// Entry is the table's knowledge of one node.
+// Entry is the state of one other node in the table.
 type Entry struct {
 	Record
-	// At is the local time at which the record was made.
+	// RecordedAt is when the record was created, by the local clock.
 	RecordedAt time.Time
 
 	damper           damper
 	unreachableUntil time.Time
-	// lost is set by the first sign of a loss and reset by the next sign of
-	// life, so that one loss with many signs is one penalty.
+	// lossCounted is set by the first sign of a loss and cleared by the next newer record, so
+	// that several signs of one loss add only one penalty.
 	lossCounted bool
 }
 
-// noteLoss counts a loss once.
+// noteLoss adds a penalty for a loss, once until the next newer record.
 func (e *Entry) noteLoss(now time.Time) {
 	if !e.lossCounted {
 		e.lossCounted = true
@@ -51,14 +52,14 @@
 	config  Config
 	self    Record
 	entries map[string]*Entry
-	// ordered holds the entries in the order of their IDs, so that no decision
-	// depends on the order of a map.
+	// ordered holds the entries sorted by ID, so that no decision depends on the iteration order
+	// of a map.
 	ordered    []*Entry
 	superseded bool
 	version    uint64
 }
 
-// NewTable returns a table that knows the node itself.
+// NewTable returns a table that has only the node's own record.
 func NewTable(config Config, self Record) *Table {
 	self.Beat = 1
 	return &Table{config: config, self: self, entries: map[string]*Entry{}}
@@ -67,14 +68,15 @@
 // Self returns the node's own record.
 func (t *Table) Self() Record { return t.self }
 
-// Version changes whenever the table's content does.
+// Version returns a number that changes with every change of the table's content.
 func (t *Table) Version() uint64 { return t.version }
 
-// Superseded tells whether another process with this node's ID and a higher
-// incarnation was heard of: this one must take no new work.
+// Superseded reports whether a record of another process with this node's ID and a higher
+// incarnation was received. If so, this process must accept no new work.
 func (t *Table) Superseded() bool { return t.superseded }
 
-// Beat makes a new record of the node itself. number is its bundle's.
+// UpdateSelf updates the node's own record and increments its beat. number is that of the node's
+// bundle. The state never goes back.
 func (t *Table) UpdateSelf(state State, load uint32, number uint64) {
 	t.self.State = max(t.self.State, state)
 	t.self.Load = load
@@ -83,21 +85,20 @@
 	t.version++
 }
 
-// Entry returns what is known of a node, or nil.
+// Entry returns the entry of another node, or nil if the node is unknown.
 func (t *Table) Entry(id string) *Entry { return t.entries[id] }
 
-// Entries calls visit for every known node in the order of their IDs.
+// Entries calls visit for each of the other nodes, in the order of their IDs.
 func (t *Table) Entries(visit func(*Entry)) {
 	for _, entry := range t.ordered {
 		visit(entry)
 	}
 }
 
-// Len returns the number of other nodes known.
+// Len returns the number of other nodes in the table.
 func (t *Table) Len() int { return len(t.ordered) }
 
-// Merge takes records that were received at the time. It returns the entries
-// that are news.
+// Merge merges records received at now, and returns the entries that were added or updated.
 func (t *Table) Merge(now time.Time, records []Record) []*Entry {
 	var updated []*Entry
 	for _, record := range records {
@@ -122,7 +123,7 @@
 		return nil
 	}
 	if known && record.Incarnation > entry.Incarnation && entry.Incarnation != 0 {
-		entry.noteLoss(now) // a restart that was too quick to be noticed
+		entry.noteLoss(now) // count a restart that was too quick for the loss to be noticed
 	}
 	entry.Record = record
 	entry.RecordedAt = at
@@ -131,8 +132,8 @@
 	return entry
 }
 
-// hearOfSelf takes what others say about this node: a higher incarnation means
-// that another process took its place, a later state that it must leave.
+// mergeSelf merges a record of this node that others sent. A higher incarnation means that another
+// process has taken its place. A later state of this incarnation means that it must leave.
 func (t *Table) mergeSelf(record Record) {
 	if record.Incarnation > t.self.Incarnation {
 		t.superseded = true
@@ -143,14 +144,15 @@
 	}
 }
 
+// insert adds an entry and keeps ordered sorted.
 func (t *Table) insert(entry *Entry) {
 	t.entries[entry.ID] = entry
 	at, _ := slices.BinarySearchFunc(t.ordered, entry.ID, func(e *Entry, id string) int { return strings.Compare(e.ID, id) })
 	t.ordered = slices.Insert(t.ordered, at, entry)
 }
 
-// NoteUnreachable records that a connection to the node failed, also when the
-// node was never heard of.
+// MarkUnreachable records that a connection to the node failed. It adds an entry if the node was
+// never heard of.
 func (t *Table) MarkUnreachable(now time.Time, id string) {
 	entry, known := t.entries[id]
 	if !known {
@@ -162,13 +164,13 @@
 	t.version++
 }
 
-// IsUnreachable tells whether a connection to the node failed a moment ago.
+// IsUnreachable reports whether a connection to the node failed within Config.UnreachableFor.
 func (t *Table) IsUnreachable(now time.Time, entry *Entry) bool {
 	return now.Before(entry.unreachableUntil)
 }
 
-// NoteLeaving records that the node takes no new work, as it answered itself or
-// as the machine list says. The news spreads with the node's record.
+// MarkLeaving records that the node accepts no new work, because it refused a request as leaving or
+// the machine list shows it as leaving. The state spreads with the node's record.
 func (t *Table) MarkLeaving(id string) {
 	if entry, known := t.entries[id]; known && entry.State < StateLeaving {
 		entry.State = StateLeaving
@@ -176,7 +178,8 @@
 	}
 }
 
-// Expire notes nodes that have fallen silent and forgets those silent for long.
+// Expire counts the loss of nodes that have become silent, and removes those silent for longer than
+// Config.ForgetAfter.
 func (t *Table) Expire(now time.Time) {
 	t.ordered = slices.DeleteFunc(t.ordered, func(entry *Entry) bool {
 		age := now.Sub(entry.RecordedAt)
@@ -193,22 +196,22 @@
 	})
 }
 
-// Liveness is a judgement of a node at one moment.
+// Liveness is the assessment of a node at one moment.
 type Liveness uint8
 
 // The values of Liveness.
 const (
-	// Live is heard from and serving.
+	// Alive nodes are serving and were heard from recently.
 	Alive Liveness = iota
-	// Flapping is heard from and serving, but was lost several times of late.
+	// Flapping nodes are serving and were heard from recently, but were lost several times before.
 	Flapping
-	// Doubtful is silent or unreachable.
+	// Doubtful nodes are silent or unreachable.
 	Doubtful
-	// Gone is leaving or has left.
+	// Leaving nodes are leaving or have left.
 	Leaving
 )
 
-// Liveness judges the entry.
+// Liveness returns the assessment of the entry's node.
 func (t *Table) Liveness(now time.Time, entry *Entry) Liveness {
 	switch {
 	case entry.State != StateServing:
@@ -223,8 +226,8 @@
 	}
 }
 
-// Freshest returns up to limit records of the named nodes, the latest measured
-// first. The node's own record comes before all others if it is named.
+// Freshest returns up to limit records of the nodes with the given IDs, the latest first. If this
+// node's own ID is among them, its record comes before all others.
 func (t *Table) Freshest(now time.Time, limit int, ids []string) []Record {
 	var latest []*Entry
 	var chosen []Record
@@ -246,7 +249,7 @@
 	return chosen
 }
 
-// insertLatest keeps the list of the limit latest entries in order.
+// insertLatest inserts entry into latest, a list of at most limit entries with the latest first.
 func insertLatest(latest []*Entry, entry *Entry, limit int) []*Entry {
 	at := len(latest)
 	for at > 0 && entry.RecordedAt.After(latest[at-1].RecordedAt) {
@@ -259,7 +262,7 @@
 	return latest[:min(len(latest), limit)]
 }
 
-// aged returns the entry's record with its age at the moment of sending.
+// withAge returns the entry's record with its age at now, the time of sending.
 func withAge(now time.Time, entry *Entry) Record {
 	record := entry.Record
 	record.AgeMillis = uint32(max(0, now.Sub(entry.RecordedAt).Milliseconds()))
