--- a/internal/catalog/digest.go
+++ b/internal/catalog/digest.go
@@ -50,7 +50,7 @@
 // its warm-up, which ends by itself. The sum of a back end that leaves isn't a linear map
 // of its other one: with the complement, say, two views of which each knows another back
 // end of a bucket to leave would have equal sums, and never tell each other.
-func sumOf(entry Entry) uint32 {
+func checksumOf(entry Entry) uint32 {
 	sum := xxhash.Sum64String(entry.BackEnd.ID)
 	if entry.BackEnd.Leaving {
 		sum *= leavingFactor
@@ -60,17 +60,17 @@
 
 // Digest returns the sums of the moment. The caller must not change them.
 func (v *View) Digest() Digest {
-	if now := v.entries.version(); v.digest == nil || v.digestOf != now {
-		v.digest, v.digestOf = v.sum(), now
+	if now := v.entries.version(); v.digest == nil || v.digestVersion != now {
+		v.digest, v.digestVersion = v.computeDigest(), now
 	}
 	return v.digest
 }
 
-func (v *View) sum() Digest {
+func (v *View) computeDigest() Digest {
 	digest := make(Digest, DigestBuckets)
 	for id, entry := range v.entries.records {
 		if !entry.Gone {
-			digest[bucketOf(id)] ^= sumOf(entry)
+			digest[bucketOf(id)] ^= checksumOf(entry)
 		}
 	}
 	return digest
@@ -78,25 +78,25 @@
 
 // Sums are those of the back ends that a view knows to be in service, sumBytes each. They
 // tell a peer which entries not to send.
-type Sums []byte
+type Checksums []byte
 
-const sumBytes = 4
+const checksumBytes = 4
 
 // SumsOf returns the sums of the back ends of the buckets.
-func (v *View) SumsOf(buckets Buckets) Sums {
-	var sums Sums
+func (v *View) ChecksumsOf(buckets Buckets) Checksums {
+	var checksums Checksums
 	for id, entry := range v.entries.records {
 		if !entry.Gone && buckets.Has(bucketOf(id)) {
-			sums = binary.BigEndian.AppendUint32(sums, sumOf(entry))
+			checksums = binary.BigEndian.AppendUint32(checksums, checksumOf(entry))
 		}
 	}
-	return sums
+	return checksums
 }
 
 // set returns the set of the sums.
-func (s Sums) set() map[uint32]bool {
-	set := make(map[uint32]bool, len(s)/sumBytes)
-	for rest := s; len(rest) >= sumBytes; rest = rest[sumBytes:] {
+func (s Checksums) set() map[uint32]bool {
+	set := make(map[uint32]bool, len(s)/checksumBytes)
+	for rest := s; len(rest) >= checksumBytes; rest = rest[checksumBytes:] {
 		set[binary.BigEndian.Uint32(rest)] = true
 	}
 	return set
@@ -104,22 +104,22 @@
 
 // Lacked returns the entries of the buckets that a peer lacks which knows the back ends of
 // the sums: those in service that aren't among them, and the removals of those that are.
-func (v *View) Lacked(buckets Buckets, known Sums) []Entry {
-	knownSums := known.set()
-	var lacked []Entry
+func (v *View) MissingEntries(buckets Buckets, known Checksums) []Entry {
+	knownSet := known.set()
+	var missing []Entry
 	for id, entry := range v.entries.records {
-		if buckets.Has(bucketOf(id)) && entry.isLackedBy(knownSums) {
-			lacked = append(lacked, entry)
+		if buckets.Has(bucketOf(id)) && entry.isMissingFrom(knownSet) {
+			missing = append(missing, entry)
 		}
 	}
-	return lacked
+	return missing
 }
 
-func (e Entry) isLackedBy(knownSums map[uint32]bool) bool {
+func (e Entry) isMissingFrom(known map[uint32]bool) bool {
 	if !e.Gone {
-		return !knownSums[sumOf(e)]
+		return !known[checksumOf(e)]
 	}
 	leaving, staying := e, e
 	leaving.BackEnd.Leaving, staying.BackEnd.Leaving = true, false
-	return knownSums[sumOf(leaving)] || knownSums[sumOf(staying)]
+	return known[checksumOf(leaving)] || known[checksumOf(staying)]
 }
--- a/internal/catalog/digest_test.go
+++ b/internal/catalog/digest_test.go
@@ -10,7 +10,7 @@
 	_ "github.com/harriernotch/harriernotch/internal/fixedseed"
 )
 
-func listed(count int, revision uint64) []Entry {
+func makeEntries(count int, revision uint64) []Entry {
 	entries := make([]Entry, count)
 	for i := range entries {
 		entries[i] = Entry{BackEnd: BackEnd{ID: fmt.Sprint("b", i), Service: "s"}, Revision: revision}
@@ -18,50 +18,50 @@
 	return entries
 }
 
-func TestGatewaysThatKnowTheSameTellEachOtherNothing(t *testing.T) {
+func TestEqualViewsHaveEqualDigests(t *testing.T) {
 	is := is.New(t)
 	first, second := NewView(), NewView()
-	first.OfferList(listed(3000, 7), Position{Revision: 7})
-	second.OfferList(listed(3000, 7), Position{Revision: 9})
+	first.OfferList(makeEntries(3000, 7), Position{Revision: 7})
+	second.OfferList(makeEntries(3000, 7), Position{Revision: 9})
 	is.Equal(first.Digest().Differing(second.Digest()), Buckets(0))
 }
 
 // lackedBy returns what the teller answers a gateway that compared digests with it.
-func lackedBy(asker, teller *View) []Entry {
-	differing := asker.Digest().Differing(teller.Digest())
-	return teller.Lacked(differing, asker.SumsOf(differing))
+func missingEntries(requester, responder *View) []Entry {
+	differing := requester.Digest().Differing(responder.Digest())
+	return responder.MissingEntries(differing, requester.ChecksumsOf(differing))
 }
 
-func TestOneDifferenceCostsOneEntry(t *testing.T) {
+func TestOneDifferenceSendsOneEntry(t *testing.T) {
 	is := is.New(t)
 	first, second := NewView(), NewView()
-	first.OfferList(listed(3000, 7), Position{Revision: 7})
-	second.OfferList(listed(3000, 7), Position{Revision: 7})
+	first.OfferList(makeEntries(3000, 7), Position{Revision: 7})
+	second.OfferList(makeEntries(3000, 7), Position{Revision: 7})
 	first.OfferEntries([]Entry{{BackEnd: BackEnd{ID: "b12"}, Gone: true, Revision: 7}})
-	entries := lackedBy(second, first)
+	entries := missingEntries(second, first)
 	is.Equal(len(entries), 1)
 	second.OfferEntries(entries)
 	is.Equal(second.BackEnds(), first.BackEnds())
 }
 
-func TestGatewayThatKnowsNothingGetsAll(t *testing.T) {
+func TestEmptyViewIsMissingAllEntries(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
-	view.OfferList(listed(30, 7), Position{Revision: 7})
+	view.OfferList(makeEntries(30, 7), Position{Revision: 7})
 	for _, other := range []Digest{nil, NewView().Digest()} {
-		is.Equal(len(view.Lacked(other.Differing(view.Digest()), nil)), 30)
+		is.Equal(len(view.MissingEntries(other.Differing(view.Digest()), nil)), 30)
 	}
 }
 
 // The removal of one back end and of another one of its bucket don't cancel out: a view
 // that knows the one leaving differs from a view that knows the other.
-func TestDigestTellsWhichBackEndIsLeaving(t *testing.T) {
+func TestDigestDistinguishesWhichBackEndIsLeaving(t *testing.T) {
 	is := is.New(t)
 	ids := idsOfBucket(0, 2)
 	first, second := NewView(), NewView()
 	first.OfferEntries([]Entry{{BackEnd: BackEnd{ID: ids[0], Leaving: true}}, {BackEnd: BackEnd{ID: ids[1]}}})
 	second.OfferEntries([]Entry{{BackEnd: BackEnd{ID: ids[0]}}, {BackEnd: BackEnd{ID: ids[1], Leaving: true}}})
-	is.Equal(len(lackedBy(second, first)), 2)
+	is.Equal(len(missingEntries(second, first)), 2)
 }
 
 // idsOfBucket returns as many IDs as asked for that fall into the bucket.
@@ -77,7 +77,7 @@
 
 // Whatever two gateways have heard, after each told the other what differs they know
 // the same.
-func TestDifferencesMakeViewsAgree(t *testing.T) {
+func TestExchangeOfMissingEntriesMakesViewsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := NewView(), NewView()
 		for range rapid.IntRange(0, 40).Draw(t, "news") {
@@ -94,7 +94,7 @@
 				second.OfferEntries([]Entry{entry})
 			}
 		}
-		fromFirst, fromSecond := lackedBy(second, first), lackedBy(first, second)
+		fromFirst, fromSecond := missingEntries(second, first), missingEntries(first, second)
 		second.OfferEntries(fromFirst)
 		first.OfferEntries(fromSecond)
 		if fmt.Sprint(first.BackEnds()) != fmt.Sprint(second.BackEnds()) {
--- a/internal/catalog/era_test.go
+++ b/internal/catalog/era_test.go
@@ -16,7 +16,7 @@
 )
 
 // inEra returns the entry in an era.
-func (e Entry) inEra(era uint64) Entry {
+func (e Entry) withEra(era uint64) Entry {
 	e.Era = era
 	return e
 }
@@ -24,74 +24,74 @@
 // viewInEra knows back ends a and b at revisions 100 and 101 of the first era, since long.
 func viewInEra() *View {
 	view := NewView()
-	view.HearEra(1)
+	view.ObserveEra(1)
 	view.SettleEra(1)
-	view.OfferList([]Entry{entry("a", 100).inEra(1), entry("b", 101).inEra(1)}, Position{Era: 1, Revision: 101})
+	view.OfferList([]Entry{entry("a", 100).withEra(1), entry("b", 101).withEra(1)}, Position{Era: 1, Revision: 101})
 	return view
 }
 
 // Revisions of a restored store are given out again: what is written at lower ones is news.
-func TestWhatIsWrittenAfterARestoreIsTaken(t *testing.T) {
+func TestWritesAfterARestoreAreAdopted(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
-	view.HearEra(2)
-	leaving := entry("a", 51).inEra(2)
+	view.ObserveEra(2)
+	leaving := entry("a", 51).withEra(2)
 	leaving.BackEnd.Leaving = true
-	is.Equal(len(view.OfferEntries([]Entry{leaving, entry("c", 52).inEra(2)})), 2)
+	is.Equal(len(view.OfferEntries([]Entry{leaving, entry("c", 52).withEra(2)})), 2)
 	is.True(view.BackEnds()[0].Leaving)
 	is.Equal(ids(view), []string{"a", "b", "c"})
 }
 
 // A stale read, a slow answer or a peer of the era before doesn't take back what is known in
 // the new one.
-func TestWordsOfAnEndedEraComeTooLate(t *testing.T) {
+func TestRecordsOfAnEndedEraAreIgnored(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
-	view.HearEra(2)
-	view.OfferEntries([]Entry{entry("a", 51).inEra(2)})
+	view.ObserveEra(2)
+	view.OfferEntries([]Entry{entry("a", 51).withEra(2)})
 	view.SettleEra(2)
-	view.OfferList([]Entry{entry("b", 52).inEra(2)}, Position{Era: 2, Revision: 53})
+	view.OfferList([]Entry{entry("b", 52).withEra(2)}, Position{Era: 2, Revision: 53})
 	is.Equal(ids(view), []string{"b"})
-	is.Equal(len(view.OfferEntries([]Entry{entry("a", 900).inEra(1)})), 0)
-	is.Equal(len(view.OfferEntries([]Entry{entry("lost", 900).inEra(1)})), 0)
-	is.Equal(len(view.OfferList([]Entry{entry("a", 900).inEra(1)}, Position{Era: 1, Revision: 950})), 0)
+	is.Equal(len(view.OfferEntries([]Entry{entry("a", 900).withEra(1)})), 0)
+	is.Equal(len(view.OfferEntries([]Entry{entry("lost", 900).withEra(1)})), 0)
+	is.Equal(len(view.OfferList([]Entry{entry("a", 900).withEra(1)}, Position{Era: 1, Revision: 950})), 0)
 	is.Equal(ids(view), []string{"b"})
 }
 
 // What a restored store lacks is kept until it can have been written again, and what had gone
 // isn't back for the copy's sake.
-func TestRestoredStoreIsBelievedOnceItHasSettled(t *testing.T) {
+func TestRestoredListAppliesOnceTheEraHasSettled(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
 	view.OfferEntries([]Entry{{BackEnd: BackEnd{ID: "b"}, Gone: true, Revision: 102, Era: 1}})
-	view.HearEra(2)
-	copied := []Entry{entry("b", 40).inEra(2)}
-	view.OfferList(copied, Position{Era: 2, Revision: 60})
+	view.ObserveEra(2)
+	restored := []Entry{entry("b", 40).withEra(2)}
+	view.OfferList(restored, Position{Era: 2, Revision: 60})
 	is.Equal(ids(view), []string{"a"})
 	view.SettleEra(2)
-	view.OfferList(copied, Position{Era: 2, Revision: 60})
+	view.OfferList(restored, Position{Era: 2, Revision: 60})
 	is.Equal(ids(view), []string{"b"})
 }
 
 // A back end that has said that it leaves does so, though the copy is from before.
-func TestLeavingOutlivesARestore(t *testing.T) {
+func TestLeavingSurvivesARestore(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
-	leaving := entry("a", 105).inEra(1)
+	leaving := entry("a", 105).withEra(1)
 	leaving.BackEnd.Leaving = true
 	view.OfferEntries([]Entry{leaving})
-	view.HearEra(2)
-	view.OfferList([]Entry{entry("a", 40).inEra(2), entry("b", 41).inEra(2)}, Position{Era: 2, Revision: 60})
+	view.ObserveEra(2)
+	view.OfferList([]Entry{entry("a", 40).withEra(2), entry("b", 41).withEra(2)}, Position{Era: 2, Revision: 60})
 	is.True(view.BackEnds()[0].Leaving)
 	is.True(!view.BackEnds()[1].Leaving)
 }
 
 // Orders on zones that an operator gave in the lost seconds hold until they are given again.
-func TestOrdersOutliveARestore(t *testing.T) {
+func TestEvacuationsSurviveARestore(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
 	view.OfferEvacuations([]Evacuation{{Zone: "z", Revision: 104, Era: 1}, {Zone: "y", Withdrawn: true, Revision: 105, Era: 1}})
-	view.HearEra(2)
+	view.ObserveEra(2)
 	view.OfferEvacuationList([]Evacuation{{Zone: "y", Revision: 30, Era: 2}}, Position{Era: 2, Revision: 60})
 	is.Equal(view.EvacuatedZones(), []string{"z"})
 	view.OfferEvacuations([]Evacuation{{Zone: "z", Revision: 61, Era: 2}, {Zone: "y", Withdrawn: true, Revision: 62, Era: 2}})
@@ -101,12 +101,12 @@
 }
 
 // A verdict that the copy lacks stands, and is to be written again.
-func TestVerdictOutlivesARestore(t *testing.T) {
+func TestRolloutStateSurvivesARestore(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
 	order := Rollout{Service: "s", Target: "v2", Duration: 12 * time.Second, State: rollout.Completed, Revision: 104, Era: 1}
 	view.OfferRollouts([]Rollout{order})
-	view.HearEra(2)
+	view.ObserveEra(2)
 	view.OfferRollouts([]Rollout{{Service: "s", Target: "v2", Duration: 12 * time.Second, State: rollout.InProgress, Revision: 50, Era: 2}})
 	is.Equal(view.Rollouts()[0].State, rollout.Completed)
 	is.True(view.Rollouts()[0].Unwritten)
@@ -122,10 +122,10 @@
 	leaving := entry("a", 110)
 	leaving.BackEnd.Leaving = true
 	is.Equal(len(view.OfferEntries([]Entry{leaving})), 1)
-	is.Equal(len(view.OfferEntries([]Entry{entry("a", 105).inEra(1)})), 0)
+	is.Equal(len(view.OfferEntries([]Entry{entry("a", 105).withEra(1)})), 0)
 	is.Equal(len(view.OfferEntries([]Entry{entry("a", 105)})), 0)
 	is.True(view.BackEnds()[0].Leaving)
-	view.HearEra(2)
+	view.ObserveEra(2)
 	is.Equal(len(view.OfferEntries([]Entry{entry("d", 900), entry("b", 901)})), 0)
 }
 
@@ -138,12 +138,12 @@
 }
 
 // A new era alone is no change: a fleet would tell each other all that it knows.
-func TestNewEraAloneIsNotTold(t *testing.T) {
+func TestNewEraAloneIsNotAnnounced(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
 	before := view.Changes()
-	view.HearEra(2)
-	is.Equal(len(view.OfferList([]Entry{entry("a", 10).inEra(2), entry("b", 11).inEra(2)}, Position{Era: 2, Revision: 12})), 0)
+	view.ObserveEra(2)
+	is.Equal(len(view.OfferList([]Entry{entry("a", 10).withEra(2), entry("b", 11).withEra(2)}, Position{Era: 2, Revision: 12})), 0)
 	is.Equal(view.Changes(), before)
 }
 
@@ -152,13 +152,13 @@
 type modelStore struct {
 	era, revision uint64
 	entries       map[string]Entry
-	copies        []modelCopy
+	snapshots     []modelSnapshot
 	events        []Entry
 	// truth is what the back ends would write.
 	truth map[string]BackEnd
 }
 
-type modelCopy struct {
+type modelSnapshot struct {
 	at      Position
 	entries []Entry
 }
@@ -169,7 +169,7 @@
 	m.truth[id] = backEnd
 	m.entries[id] = Entry{BackEnd: backEnd, Revision: m.revision, Era: m.era}
 	m.events = append(m.events, m.entries[id])
-	m.keep()
+	m.takeSnapshot()
 }
 
 func (m *modelStore) remove(id string) {
@@ -180,22 +180,22 @@
 	delete(m.truth, id)
 	delete(m.entries, id)
 	m.events = append(m.events, Entry{BackEnd: BackEnd{ID: id}, Gone: true, Revision: m.revision, Era: m.era})
-	m.keep()
+	m.takeSnapshot()
 }
 
-func (m *modelStore) keep() {
-	m.copies = append(m.copies, modelCopy{at: Position{Era: m.era, Revision: m.revision}, entries: slices.Collect(maps.Values(m.entries))})
+func (m *modelStore) takeSnapshot() {
+	m.snapshots = append(m.snapshots, modelSnapshot{at: Position{Era: m.era, Revision: m.revision}, entries: slices.Collect(maps.Values(m.entries))})
 }
 
 // restore begins a new era with an earlier copy.
-func (m *modelStore) restore(copied modelCopy) {
+func (m *modelStore) restore(snapshot modelSnapshot) {
 	m.era++
-	m.revision = copied.at.Revision
+	m.revision = snapshot.at.Revision
 	m.entries = map[string]Entry{}
-	for _, each := range copied.entries {
-		m.entries[each.BackEnd.ID] = each.inEra(m.era)
+	for _, each := range snapshot.entries {
+		m.entries[each.BackEnd.ID] = each.withEra(m.era)
 	}
-	m.keep()
+	m.takeSnapshot()
 }
 
 // rewrite lets everybody write theirs again.
@@ -217,9 +217,9 @@
 func TestViewsAgreeWithARestoredStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &modelStore{era: 1, entries: map[string]Entry{}, truth: map[string]BackEnd{}}
-		store.keep()
+		store.takeSnapshot()
 		views := []*View{NewView(), NewView(), NewView()}
-		take := func(view *View, era uint64) { view.HearEra(era) }
+		observe := func(view *View, era uint64) { view.ObserveEra(era) }
 		names := []string{"a", "b", "c", "d"}
 		left := map[string]bool{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -232,21 +232,21 @@
 			case 1:
 				store.remove(rapid.SampledFrom(names).Draw(t, "id"))
 			case 2:
-				mine := slices.DeleteFunc(slices.Clone(store.copies), func(c modelCopy) bool { return c.at.Era != store.era })
-				store.restore(rapid.SampledFrom(mine).Draw(t, "copy"))
+				ofCurrentEra := slices.DeleteFunc(slices.Clone(store.snapshots), func(c modelSnapshot) bool { return c.at.Era != store.era })
+				store.restore(rapid.SampledFrom(ofCurrentEra).Draw(t, "copy"))
 			case 3:
-				copied := rapid.SampledFrom(store.copies).Draw(t, "list")
-				take(view, copied.at.Era)
-				view.OfferList(copied.entries, copied.at)
+				snapshot := rapid.SampledFrom(store.snapshots).Draw(t, "list")
+				observe(view, snapshot.at.Era)
+				view.OfferList(snapshot.entries, snapshot.at)
 			case 4:
 				if len(store.events) > 0 {
 					event := rapid.SampledFrom(store.events).Draw(t, "event")
-					take(view, event.Era)
+					observe(view, event.Era)
 					view.OfferEntries([]Entry{event})
 				}
 			case 5:
 				peer := rapid.SampledFrom(views).Draw(t, "peer")
-				take(view, peer.Era())
+				observe(view, peer.Era())
 				view.OfferEntries(slices.Collect(maps.Values(peer.entries.records)))
 			case 6:
 				view.SettleEra(view.Era())
@@ -254,7 +254,7 @@
 		}
 		store.rewrite()
 		for _, view := range views {
-			take(view, store.era)
+			observe(view, store.era)
 			view.SettleEra(store.era)
 			view.OfferList(slices.Collect(maps.Values(store.entries)), Position{Era: store.era, Revision: store.revision})
 			want := fmt.Sprint(slices.Sorted(maps.Keys(store.entries)))
@@ -271,11 +271,11 @@
 }
 
 // A version of the configuration is never taken back, whatever the copy holds.
-func TestConfigurationOutlivesARestore(t *testing.T) {
+func TestConfigurationSurvivesARestore(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
 	is.True(view.OfferConfiguration(&Configuration{Version: 9}))
-	view.HearEra(2)
+	view.ObserveEra(2)
 	is.True(!view.OfferConfiguration(&Configuration{Version: 7}))
 	is.Equal(view.Version(), uint64(9))
 	is.True(view.OfferConfiguration(&Configuration{Version: math.MaxInt32}))
--- a/internal/catalog/evacuation.go
+++ b/internal/catalog/evacuation.go
@@ -16,18 +16,18 @@
 func (e Evacuation) position() Position { return Position{Era: e.Era, Revision: e.Revision} }
 func (e Evacuation) removed() bool      { return e.Withdrawn }
 
-func (e Evacuation) removedAt(position Position) Evacuation {
+func (e Evacuation) asRemoved(position Position) Evacuation {
 	return Evacuation{Zone: e.Zone, Withdrawn: true, Revision: position.Revision, Era: position.Era}
 }
 
-func (e Evacuation) at(position Position) Evacuation {
+func (e Evacuation) withPosition(position Position) Evacuation {
 	e.Revision, e.Era = position.Revision, position.Era
 	return e
 }
 
-func (e Evacuation) carrying(Evacuation) Evacuation { return e }
+func (e Evacuation) carryOver(Evacuation) Evacuation { return e }
 
-func (Evacuation) goesWithoutSaying(Evacuation) bool { return false }
+func (Evacuation) needsNoUpdate(Evacuation) bool { return false }
 
 // OfferEvacuations takes changes from a watch or a peer and returns those that were
 // news.
--- a/internal/catalog/evacuation_test.go
+++ b/internal/catalog/evacuation_test.go
@@ -10,7 +10,7 @@
 	_ "github.com/harriernotch/harriernotch/internal/fixedseed"
 )
 
-func TestOrderOnAZoneIsNeitherForgottenNorRevived(t *testing.T) {
+func TestStaleReadNeitherRemovesNorRevivesAnEvacuation(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
 	view.OfferEvacuations([]Evacuation{{Zone: "a", Revision: 5}})
@@ -26,30 +26,30 @@
 	is.Equal(view.EvacuatedZones(), []string{"a"})
 }
 
-func TestReadersFollowOrdersOnZones(t *testing.T) {
+func TestEvacuationsSinceReturnsChanges(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
 	is.Equal(len(view.OfferEvacuations([]Evacuation{{Zone: "a", Revision: 1}, {Zone: "a", Revision: 1}})), 1)
 	_, change := view.EvacuationsSince(0)
 	is.Equal(len(view.OfferEvacuations([]Evacuation{{Zone: "a", Withdrawn: true, Revision: 2}})), 1)
-	news, _ := view.EvacuationsSince(change)
-	is.Equal(news, []Evacuation{{Zone: "a", Withdrawn: true, Revision: 2}})
+	changes, _ := view.EvacuationsSince(change)
+	is.Equal(changes, []Evacuation{{Zone: "a", Withdrawn: true, Revision: 2}})
 }
 
 // Whatever the order in which gateways hear of orders, they end with the same.
-func TestOrderOfOrdersDoesNotMatter(t *testing.T) {
+func TestEvacuationsConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var news []Evacuation
+		var changes []Evacuation
 		for revision := range rapid.Uint64Range(1, 20).Draw(t, "changes") {
-			news = append(news, Evacuation{
+			changes = append(changes, Evacuation{
 				Zone:      rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
 				Withdrawn: rapid.Bool().Draw(t, "withdrawn"),
 				Revision:  revision + 1,
 			})
 		}
 		first, second := NewView(), NewView()
-		first.OfferEvacuations(news)
-		for _, each := range rapid.Permutation(news).Draw(t, "order") {
+		first.OfferEvacuations(changes)
+		for _, each := range rapid.Permutation(changes).Draw(t, "order") {
 			second.OfferEvacuations([]Evacuation{each})
 		}
 		if !slices.Equal(first.EvacuatedZones(), second.EvacuatedZones()) {
--- a/internal/catalog/ledger_test.go
+++ b/internal/catalog/ledger_test.go
@@ -12,7 +12,7 @@
 	is := is.New(t)
 	view := NewView()
 	empty := view.Digest()
-	is.Equal(len(view.OfferList(listed(3000, 7), Position{Revision: 7})), 3000)
+	is.Equal(len(view.OfferList(makeEntries(3000, 7), Position{Revision: 7})), 3000)
 	is.Equal(view.Unannounced(), uint64(3000))
 	changes, at := view.Since(0)
 	is.Equal(len(changes), 0)
@@ -24,11 +24,11 @@
 func TestChangesAreAnnounced(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
-	view.OfferEntries(listed(mostAnnounced, 7))
+	view.OfferEntries(makeEntries(alwaysAnnounced, 7))
 	changes, at := view.Since(0)
-	is.Equal(len(changes), mostAnnounced)
-	view.OfferList(listed(3000, 7), Position{Revision: 7})
-	leaving := listed(3000, 8)
+	is.Equal(len(changes), alwaysAnnounced)
+	view.OfferList(makeEntries(3000, 7), Position{Revision: 7})
+	leaving := makeEntries(3000, 8)
 	for i := range leaving {
 		leaving[i].BackEnd.Leaving = true
 	}
--- a/internal/catalog/position.go
+++ b/internal/catalog/position.go
@@ -21,7 +21,7 @@
 // its last seconds. The operators and the back ends write theirs again, so for a while it is
 // neither believed that something is gone which it lacks, nor that something is back which
 // had gone.
-type epoch struct {
+type eraState struct {
 	// era is the highest heard of.
 	era uint64
 	// restored is set once it was heard that an era ended. From then on, a record without an
@@ -35,7 +35,7 @@
 }
 
 // hear takes an era that was told, and tells whether it is a new one.
-func (e *epoch) hear(era uint64) (isNew bool) {
+func (e *eraState) observe(era uint64) (isNew bool) {
 	if era <= e.era || e.ignored {
 		return false
 	}
@@ -45,6 +45,6 @@
 }
 
 // isOutdated tells whether a position is of an era that has ended.
-func (e *epoch) isOutdated(position Position) bool {
+func (e *eraState) isOutdated(position Position) bool {
 	return !e.ignored && position.Era < e.era && (position.Era > 0 || e.restored)
 }
--- a/internal/catalog/rollout.go
+++ b/internal/catalog/rollout.go
@@ -37,25 +37,25 @@
 func (r Rollout) position() Position { return Position{Era: r.Era, Revision: r.Revision} }
 func (r Rollout) removed() bool      { return r.Withdrawn }
 
-func (r Rollout) removedAt(position Position) Rollout {
+func (r Rollout) asRemoved(position Position) Rollout {
 	r.Withdrawn = true
-	return r.at(position)
+	return r.withPosition(position)
 }
 
-func (r Rollout) at(position Position) Rollout {
+func (r Rollout) withPosition(position Position) Rollout {
 	r.Revision, r.Era = position.Revision, position.Era
 	return r
 }
 
 // carrying keeps a verdict that the copy lacks: the back ends have acted on it.
-func (r Rollout) carrying(known Rollout) Rollout {
+func (r Rollout) carryOver(known Rollout) Rollout {
 	if r.Order() == known.Order() && !known.Withdrawn && known.State > r.State {
 		r.State, r.BeganAt, r.Unwritten = known.State, known.BeganAt, true
 	}
 	return r
 }
 
-func (Rollout) goesWithoutSaying(Rollout) bool { return false }
+func (Rollout) needsNoUpdate(Rollout) bool { return false }
 
 // OfferRollouts takes changes from a watch or a peer and returns those that were news.
 func (v *View) OfferRollouts(rollouts []Rollout) []Rollout { return v.rollouts.offer(rollouts) }
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -17,7 +17,7 @@
 
 // IsSame tells whether both are the same life, as far as is known: software that doesn't tell
 // its start yet may stand beside software that does.
-func (i Incarnation) IsSame(other Incarnation) bool {
+func (i Incarnation) Matches(other Incarnation) bool {
 	return i.ID == other.ID && (i.Born == other.Born || i.Born == 0 || other.Born == 0)
 }
 
@@ -66,19 +66,19 @@
 func (e Entry) position() Position { return Position{Era: e.Era, Revision: e.Revision} }
 func (e Entry) removed() bool      { return e.Gone }
 
-func (e Entry) removedAt(position Position) Entry {
+func (e Entry) asRemoved(position Position) Entry {
 	return Entry{BackEnd: e.BackEnd, Gone: true, Revision: position.Revision, Era: position.Era}
 }
 
-func (e Entry) at(position Position) Entry {
+func (e Entry) withPosition(position Position) Entry {
 	e.Revision, e.Era = position.Revision, position.Era
 	return e
 }
 
 // carrying keeps that a back end leaves: within a life it doesn't come back, and the copy may
 // be from before it said so.
-func (e Entry) carrying(known Entry) Entry {
-	if !e.Gone && e.BackEnd.Incarnation().IsSame(known.BackEnd.Incarnation()) {
+func (e Entry) carryOver(known Entry) Entry {
+	if !e.Gone && e.BackEnd.Incarnation().Matches(known.BackEnd.Incarnation()) {
 		e.BackEnd.Leaving = e.BackEnd.Leaving || known.BackEnd.Leaving
 	}
 	return e
@@ -87,16 +87,16 @@
 // goesWithoutSaying is true for the countdown of a warm-up: a back end that starts writes a
 // new entry with each heartbeat until it is warm, and each would cross every connection
 // between gateways.
-func (e Entry) goesWithoutSaying(known Entry) bool {
+func (e Entry) needsNoUpdate(known Entry) bool {
 	if e.BackEnd.WarmUp >= known.BackEnd.WarmUp {
 		return false
 	}
 	known.BackEnd.WarmUp, known.BackEnd.WarmUpAt = e.BackEnd.WarmUp, e.BackEnd.WarmUpAt
-	return e.at(Position{}) == known.at(Position{})
+	return e.withPosition(Position{}) == known.withPosition(Position{})
 }
 
 // dated returns the entries with the position of their warm-ups.
-func dated(entries []Entry) []Entry {
+func withWarmUpPositions(entries []Entry) []Entry {
 	list := make([]Entry, len(entries))
 	for i, each := range entries {
 		if each.BackEnd.WarmUp > 0 {
@@ -112,40 +112,40 @@
 // entry or an order only by one of a later position. So neither a stale read nor a peer
 // that lags can take it back. It is not safe for concurrent use.
 type View struct {
-	epoch       *epoch
+	eras        *eraState
 	index       *Index
-	entries     ledger[Entry]
-	evacuations ledger[Evacuation]
-	rollouts    ledger[Rollout]
+	entries     recordSet[Entry]
+	evacuations recordSet[Evacuation]
+	rollouts    recordSet[Rollout]
 	// digest is that of the entries when they were at the version digestOf.
-	digest   Digest
-	digestOf uint64
+	digest        Digest
+	digestVersion uint64
 }
 
 // NewView returns an empty view.
 func NewView() *View {
-	epoch := &epoch{settled: true}
+	eras := &eraState{settled: true}
 	return &View{
-		epoch: epoch, entries: newLedger[Entry](epoch, mostAnnounced),
-		evacuations: newLedger[Evacuation](epoch, math.MaxInt), rollouts: newLedger[Rollout](epoch, math.MaxInt),
+		eras: eras, entries: newRecordSet[Entry](eras, alwaysAnnounced),
+		evacuations: newRecordSet[Evacuation](eras, math.MaxInt), rollouts: newRecordSet[Rollout](eras, math.MaxInt),
 	}
 }
 
 // Era returns the highest era of the store that was heard of; 0 for none.
-func (v *View) Era() uint64 { return v.epoch.era }
+func (v *View) Era() uint64 { return v.eras.era }
 
 // HearEra takes an era that the store or a peer told, and tells whether it is a new one.
 // Records from before are then kept though the store may lack them, until SettleEra.
-func (v *View) HearEra(era uint64) (isNew bool) { return v.epoch.hear(era) }
+func (v *View) ObserveEra(era uint64) (isNew bool) { return v.eras.observe(era) }
 
 // IgnoreEras orders records by their revision alone; only checks of checks need it.
-func (v *View) IgnoreEras() { v.epoch.ignored = true }
+func (v *View) IgnoreEras() { v.eras.ignored = true }
 
 // SettleEra notes that what a restored store lacked has been written to it again, or is gone:
 // the next list says so.
 func (v *View) SettleEra(era uint64) {
-	if era == v.epoch.era {
-		v.epoch.settled = true
+	if era == v.eras.era {
+		v.eras.settled = true
 	}
 }
 
@@ -172,12 +172,14 @@
 
 // OfferEntries takes changes from a watch or a peer and returns those that were
 // news.
-func (v *View) OfferEntries(entries []Entry) []Entry { return v.entries.offer(dated(entries)) }
+func (v *View) OfferEntries(entries []Entry) []Entry {
+	return v.entries.offer(withWarmUpPositions(entries))
+}
 
 // OfferList takes a complete list that was read at the position. A back end that
 // it lacks is gone, unless it was heard of at a later one.
 func (v *View) OfferList(entries []Entry, at Position) []Entry {
-	return v.entries.offerList(dated(entries), at)
+	return v.entries.offerList(withWarmUpPositions(entries), at)
 }
 
 // BackEnds returns those in service, leaving ones included, by ID.
--- a/internal/catalog/view_test.go
+++ b/internal/catalog/view_test.go
@@ -23,7 +23,7 @@
 	return list
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
 	is.True(view.OfferConfiguration(&Configuration{Version: 7}))
@@ -45,7 +45,7 @@
 	is.Equal(ids(view), []string{"b", "c"}) // listed anew after it had been gone
 }
 
-func TestRemovalKnownByItsLastRevision(t *testing.T) {
+func TestRemovalWinsAtTheSameRevision(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
 	view.OfferEntries([]Entry{entry("a", 4)})
@@ -54,7 +54,7 @@
 	is.Equal(len(view.OfferEntries([]Entry{entry("a", 4)})), 0) // a peer's older word
 }
 
-func TestReadersFollowChanges(t *testing.T) {
+func TestSinceReturnsChanges(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
 	view.OfferEntries([]Entry{entry("a", 1), entry("b", 2)})
@@ -68,21 +68,21 @@
 
 // Two views that were offered the same news in different orders agree: this is
 // what lets peers relay entries without any agreement.
-func TestOrderOfNewsDoesNotMatter(t *testing.T) {
+func TestViewsConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		revision := uint64(0)
-		var news []Entry
+		var changes []Entry
 		for range rapid.IntRange(1, 20).Draw(t, "changes") {
 			revision++
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id")
 			next := entry(id, revision)
 			next.BackEnd.Leaving = rapid.Bool().Draw(t, "leaving")
 			next.Gone = rapid.Bool().Draw(t, "gone")
-			news = append(news, next)
+			changes = append(changes, next)
 		}
-		shuffled := rapid.Permutation(news).Draw(t, "order")
+		shuffled := rapid.Permutation(changes).Draw(t, "order")
 		first, second := NewView(), NewView()
-		first.OfferEntries(news)
+		first.OfferEntries(changes)
 		for _, each := range shuffled {
 			second.OfferEntries([]Entry{each})
 		}
@@ -121,27 +121,27 @@
 	is.Equal(counts["c"], 0) // a weight of 0 gets nothing
 }
 
-func TestCheckNamesTheField(t *testing.T) {
+func TestCheckRejectsInvalidConfigurations(t *testing.T) {
 	is := is.New(t)
-	good := Route{Name: "r", Prefix: "/x/", Targets: []Target{{Service: "s", Weight: 1}}, Timeout: time.Second}
-	for _, spoil := range []func(*Route){
+	valid := Route{Name: "r", Prefix: "/x/", Targets: []Target{{Service: "s", Weight: 1}}, Timeout: time.Second}
+	for _, invalidate := range []func(*Route){
 		func(r *Route) { r.Prefix = "x/" },
 		func(r *Route) { r.Targets = nil },
 		func(r *Route) { r.Targets[0].Service = "" },
 		func(r *Route) { r.Timeout = 0 },
 	} {
-		route := good
-		route.Targets = slices.Clone(good.Targets)
-		spoil(&route)
+		route := valid
+		route.Targets = slices.Clone(valid.Targets)
+		invalidate(&route)
 		is.True((&Configuration{Version: 1, Routes: []Route{route}}).Check() != nil)
 	}
-	is.NoErr((&Configuration{Version: 1, Routes: []Route{good}}).Check())
+	is.NoErr((&Configuration{Version: 1, Routes: []Route{valid}}).Check())
 	is.True((&Configuration{}).Check() != nil)
 }
 
 // Peers aren't told how a warm-up goes on, since each knows when it ends; that it begins
 // anew, they are.
-func TestCountdownOfAWarmUpIsNotPassedOn(t *testing.T) {
+func TestWarmUpCountdownIsNotAnnounced(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
 	cold := func(left time.Duration, revision uint64) []Entry {
@@ -149,26 +149,26 @@
 		each.BackEnd.WarmUp = left
 		return []Entry{each}
 	}
-	toldAfter := func(entries []Entry) int {
+	announcedAfter := func(entries []Entry) int {
 		_, change := view.Since(0)
 		view.OfferEntries(entries)
-		news, _ := view.Since(change)
-		return len(news)
+		changes, _ := view.Since(change)
+		return len(changes)
 	}
-	is.Equal(toldAfter(cold(3*time.Second, 1)), 1)
-	is.Equal(toldAfter(cold(1800*time.Millisecond, 2)), 0)
+	is.Equal(announcedAfter(cold(3*time.Second, 1)), 1)
+	is.Equal(announcedAfter(cold(1800*time.Millisecond, 2)), 0)
 	is.Equal(view.BackEnds()[0].WarmUp, 1800*time.Millisecond) // known here
-	is.Equal(toldAfter(cold(0, 3)), 0)
-	is.Equal(toldAfter(cold(2*time.Second, 4)), 1)
-	is.Equal(toldAfter(cold(2*time.Second, 5)), 1) // listed anew: the revision protects it
+	is.Equal(announcedAfter(cold(0, 3)), 0)
+	is.Equal(announcedAfter(cold(2*time.Second, 4)), 1)
+	is.Equal(announcedAfter(cold(2*time.Second, 5)), 1) // listed anew: the revision protects it
 	leaving := cold(0, 6)
 	leaving[0].BackEnd.Leaving = true
-	is.Equal(toldAfter(leaving), 1)
+	is.Equal(announcedAfter(leaving), 1)
 }
 
 // A gateway that wasn't told how a warm-up went on hears that it begins anew, with the same
 // time left.
-func TestWarmUpThatBeginsAnewIsNews(t *testing.T) {
+func TestRestartedWarmUpIsAChange(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
 	cold := entry("a", 1)
--- a/internal/dispatch/copying.go
+++ b/internal/dispatch/copying.go
@@ -58,7 +58,7 @@
 func (c *Core) usableHolder(now time.Time, part partKey, target *member) *member {
 	for _, holder := range c.holders.holdersOf(now, part) {
 		m := c.presentMember(now, holder.ID)
-		if canCopyFrom(now, m, target) && m.backEnd.Incarnation().IsSame(holder) {
+		if canCopyFrom(now, m, target) && m.backEnd.Incarnation().Matches(holder) {
 			return m
 		}
 	}
--- a/internal/dispatch/lapse.go
+++ b/internal/dispatch/lapse.go
@@ -51,7 +51,7 @@
 	if m == nil {
 		m = c.lapsed[of.ID].member
 	}
-	if m == nil || !m.backEnd.Incarnation().IsSame(of) {
+	if m == nil || !m.backEnd.Incarnation().Matches(of) {
 		return nil
 	}
 	return m
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -165,7 +165,7 @@
 	c.order.nonHolderYielded = c.config.Disabled[BalanceMemory]
 	c.order.second = nil
 	c.order.ranking.rank(x.request.affinity(), candidates, func(m *member) bool {
-		return slices.ContainsFunc(holders, m.backEnd.Incarnation().IsSame) && !c.config.Disabled[HoldersFirst]
+		return slices.ContainsFunc(holders, m.backEnd.Incarnation().Matches) && !c.config.Disabled[HoldersFirst]
 	})
 }
 
--- a/internal/follower/call.go
+++ b/internal/follower/call.go
@@ -57,7 +57,7 @@
 }
 
 // callOnce makes a call that ends within callTimeout.
-func callOnce[T any](ctx context.Context, call func(ctx context.Context) (T, error)) (T, error) {
+func callWithTimeout[T any](ctx context.Context, call func(ctx context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return call(ctx)
--- a/internal/follower/eras.go
+++ b/internal/follower/eras.go
@@ -19,33 +19,33 @@
 
 // followEras begins anew with each era of the store but the first that it hears of.
 func (f *Follower) followEras(ctx context.Context, lists []list) {
-	followed := uint64(0)
+	handled := uint64(0)
 	for ctx.Err() == nil {
 		changed := f.config.State.EraChanged()
 		era := f.config.State.Era()
-		if era == followed {
-			sleepUntil(ctx, changed, longestStretch)
+		if era == handled {
+			sleepUnlessClosed(ctx, changed, maxReadPeriod)
 			continue
 		}
-		isRestored := followed > 0
-		followed = era
+		isRestored := handled > 0
+		handled = era
 		if isRestored {
-			f.beginAnew(lists)
+			f.resync(lists)
 		}
-		if isNewer := sleepUntil(ctx, changed, rewriteTime); isNewer {
+		if isNewer := sleepUnlessClosed(ctx, changed, rewriteTime); isNewer {
 			continue
 		}
 		f.config.State.SettleEra(era)
 		if isRestored {
 			// Those that watch read the lists again, which now say what is gone.
-			f.beginAnew(lists)
+			f.resync(lists)
 			f.tasks.Go(func() { f.rewriteAsReader(ctx) })
 		}
 	}
 }
 
 // sleepUntil waits for the time, and tells whether the channel was closed before.
-func sleepUntil(ctx context.Context, closed <-chan struct{}, wait time.Duration) bool {
+func sleepUnlessClosed(ctx context.Context, closed <-chan struct{}, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -61,22 +61,22 @@
 // one of those that read it.
 func (f *Follower) rewriteAsReader(ctx context.Context) {
 	if f.isReader() {
-		f.persist(ctx, f.rewriteWithheld)
+		f.retryCall(ctx, f.rewriteWithheld)
 	}
 }
 
 // beginAnew drops how far the lists are known, and the watches that go on from there.
-func (f *Follower) beginAnew(lists []list) {
+func (f *Follower) resync(lists []list) {
 	for _, each := range lists {
-		each.reached.forget()
+		each.progress.reset()
 	}
-	f.watches.renew()
+	f.watches.restart()
 }
 
 // rewriteWithheld writes the records of withheld requests that the restored store lacks. Several
 // gateways may: a record that is there already stays as it is.
 func (f *Follower) rewriteWithheld(ctx context.Context) error {
-	sleep(ctx, time.Duration(f.config.State.Place().Rank)*rewriteStep)
+	sleep(ctx, time.Duration(f.config.State.Place().Rank)*rewriteStagger)
 	known := f.config.State.WithheldRecords()
 	if len(known) == 0 {
 		return nil
@@ -94,4 +94,4 @@
 }
 
 // rewriteStep is the time between the gateways that may write, so that the first one does.
-const rewriteStep = 300 * time.Millisecond
+const rewriteStagger = 300 * time.Millisecond
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -55,7 +55,7 @@
 
 // Two plain reads a period show others that the store answers; a third list takes its turn
 // among them.
-func TestThirdListCostsNoFurtherReads(t *testing.T) {
+func TestThirdListAddsNoReads(t *testing.T) {
 	is := is.New(t)
 	count := func(evacuations bool) (all, third int64) {
 		s := &source{backEnds: 3, evacuations: evacuations}
@@ -80,7 +80,7 @@
 
 // A gateway that learns from its peers reads what may be old, once it is ready; a
 // reader does so once, for the list of back ends at its start.
-func TestOnlyGatewaysThatAreNoReadersReadStale(t *testing.T) {
+func TestLearnersReadStaleAndReadersFresh(t *testing.T) {
 	is := is.New(t)
 	count := func(reader bool) (stale, all int64) {
 		s := &source{backEnds: 3}
@@ -97,7 +97,7 @@
 
 // Back ends that are replaced one after another end a watch each; what follows the first
 // change is gathered, so that calls don't grow with the changes.
-func TestWatchGathersASeriesOfChanges(t *testing.T) {
+func TestWatchBatchesChanges(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3, changePeriod: 10 * time.Millisecond}
 	follow(t, s, 4, true, func(*gateway.State) { time.Sleep(10 * time.Second) })
@@ -120,14 +120,14 @@
 	follow(t, s, 1, true, func(state *gateway.State) {
 		synctest.Wait()
 		is.True(state.Ready())
-		time.Sleep(settleTime / 2)
+		time.Sleep(watchDelay / 2)
 		is.Equal(s.watches.Load(), int64(0))
-		time.Sleep(settleTime)
+		time.Sleep(watchDelay)
 		is.True(s.watches.Load() > 0)
 	})
 }
 
-func TestStoreThatComesBackIsFoundSoon(t *testing.T) {
+func TestStoreRecoveryIsDetectedSoon(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
 	s.failing.Store(true)
@@ -153,7 +153,7 @@
 		configuration, backEnds := s.configurationReads.Load(), s.reads.Load()
 		is.True(configuration-backEnds <= 1 && backEnds-configuration <= 1)
 		s.failing.Store(false)
-		time.Sleep(longestPause * 5 / 4)
+		time.Sleep(maxBackoff * 5 / 4)
 		is.True(s.configurationReads.Load() > configuration)
 		is.True(s.reads.Load() > backEnds)
 	})
@@ -161,47 +161,47 @@
 
 // In a fleet of many, a gateway that has just started doesn't watch before it can have
 // heard of those that do.
-func TestStartedGatewayOfManyWatchesLater(t *testing.T) {
+func TestStartedGatewayInALargeFleetWatchesLater(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
 	follow(t, s, 23, true, func(*gateway.State) {
-		time.Sleep(settleTime + moreSettleTime/2)
+		time.Sleep(watchDelay + largeFleetWatchDelay/2)
 		is.Equal(s.watches.Load(), int64(0))
-		time.Sleep(moreSettleTime)
+		time.Sleep(largeFleetWatchDelay)
 		is.True(s.watches.Load() > 0)
 	})
 }
 
 // Others take a reader for lost by the age of its last answer: a read isn't later than due.
-func TestPlainReadsAreNeverLate(t *testing.T) {
+func TestReadIntervalIsNeverExceeded(t *testing.T) {
 	is := is.New(t)
 	for range 1000 {
-		wait := readPause(time.Second)
+		wait := jitterEarly(time.Second)
 		is.True(wait >= 800*time.Millisecond && wait <= time.Second)
 	}
 }
 
 // Connections fall silent together: once one plain read got no answer in time and the next
 // one did, on a new connection, the watches that wait on old ones begin anew.
-func TestWatchesThatWaitOnSilentConnectionsBeginAnew(t *testing.T) {
+func TestWatchesOnSilentConnectionsAreRestarted(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
-	s.deaf.Store(true)
+	s.silent.Store(true)
 	follow(t, s, 3, true, func(*gateway.State) {
 		time.Sleep(4 * time.Second)
 		is.Equal(s.watches.Load(), int64(1)) // it waits for its 22 s
 		s.unanswered.Store(1)
-		s.deaf.Store(false)
+		s.silent.Store(false)
 		time.Sleep(3 * time.Second)
 		is.True(s.watches.Load() > 1)
 	})
 }
 
 // A store that answers nobody in time, or slowly, isn't one whose connections are dead.
-func TestWatchesGoOnWhileNoReadIsAnswered(t *testing.T) {
+func TestWatchesContinueWhileNoReadIsAnswered(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
-	s.deaf.Store(true)
+	s.silent.Store(true)
 	follow(t, s, 3, true, func(*gateway.State) {
 		time.Sleep(4 * time.Second)
 		s.failing.Store(true)
@@ -212,7 +212,7 @@
 
 // A watch goes on where the last read or watch ended, so that one that is cut costs no
 // further read.
-func TestWatchBeginsWhereTheLastReadEnded(t *testing.T) {
+func TestWatchResumesAtTheLastPosition(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3, changePeriod: 100 * time.Millisecond}
 	follow(t, s, 3, true, func(*gateway.State) {
@@ -228,7 +228,7 @@
 }
 
 // While the store answers nobody, plain reads alone look for it.
-func TestWatchesMakeNoCallsWhileTheStoreIsAway(t *testing.T) {
+func TestWatchesMakeNoCallsWhileTheStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
 	follow(t, s, 3, true, func(*gateway.State) {
@@ -247,7 +247,7 @@
 
 // Gateways that stand by share a few calls a second while the store answers nobody, and one
 // that learned until then begins within that time.
-func TestGatewaysThatStandByShareTheirCalls(t *testing.T) {
+func TestStandbyGatewaysShareTheirCalls(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
 	follow(t, s, 40, false, func(state *gateway.State) {
@@ -277,7 +277,7 @@
 
 // Each further reader gathers for longer what follows on a change: together they make less
 // than twice the calls of the first.
-func TestFurtherReadersGatherLonger(t *testing.T) {
+func TestLaterReadersBatchLonger(t *testing.T) {
 	is := is.New(t)
 	count := func(rank int) int64 {
 		s := &source{backEnds: 3, changePeriod: 10 * time.Millisecond}
--- a/internal/follower/list.go
+++ b/internal/follower/list.go
@@ -14,9 +14,9 @@
 type list struct {
 	name string
 	// reached is how far it is known.
-	reached *reached
+	progress *listProgress
 	// firstMayBeOld lets a gateway that has just started read what may be old.
-	firstMayBeOld bool
+	firstMayBeStale bool
 	// isLong is set for the list that is read less often the longer it is.
 	isLong bool
 	// read makes a plain call and returns the position that it saw.
@@ -26,7 +26,7 @@
 }
 
 // reached is the position in the store's history up to which all changes of a list are known.
-type reached struct {
+type listProgress struct {
 	state *gateway.State
 
 	mutex    sync.Mutex
@@ -34,11 +34,11 @@
 	at       time.Time
 }
 
-func (f *Follower) newReached() *reached { return &reached{state: f.config.State} }
+func (f *Follower) newProgress() *listProgress { return &listProgress{state: f.config.State} }
 
 // note takes the position that a fresh read or a watch has come to. An answer of an era that
 // has ended may come late, and says nothing of this one's changes.
-func (r *reached) note(position catalog.Position) {
+func (r *listProgress) advance(position catalog.Position) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if position.Compare(r.position) >= 0 && position.Era >= r.state.Era() {
@@ -47,7 +47,7 @@
 }
 
 // forget drops the position, whose history the store has dropped.
-func (r *reached) forget() {
+func (r *listProgress) reset() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.position, r.at = catalog.Position{}, time.Time{}
@@ -55,16 +55,16 @@
 
 // watchable returns the position if a watch may begin there: the store drops its history
 // after a while, and a watch from before would cost a call for nothing.
-func (r *reached) watchable() (position catalog.Position, ok bool) {
+func (r *listProgress) watchStart() (position catalog.Position, ok bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.position, !r.at.IsZero() && r.state.Clock().Since(r.at) < watchableAge
+	return r.position, !r.at.IsZero() && r.state.Clock().Since(r.at) < maxPositionAge
 }
 
 // configurations is the list with the operators' document. Its version orders it, whatever the
 // era: a store that was restored may hold an older one until the operators write theirs again.
 func (f *Follower) configurations() list {
-	take := func(all []*catalog.Configuration) {
+	adopt := func(all []*catalog.Configuration) {
 		for _, each := range slices.Backward(all) {
 			if each != nil {
 				f.config.State.OfferConfiguration(each, gateway.SourceStore)
@@ -72,35 +72,34 @@
 			}
 		}
 	}
-	return listOf("configuration", f.newReached(), f.config.Source.Configurations(),
-		func(all []*catalog.Configuration, _ catalog.Position) { take(all) }, take)
+	return listOf("configuration", f.newProgress(), f.config.Source.Configurations(),
+		func(all []*catalog.Configuration, _ catalog.Position) { adopt(all) }, adopt)
 }
 
 // listOf returns a list of which the state takes whole lists and changes.
 func listOf[T any](
 	name string,
-	reached *reached,
-	objects Objects[T],
+	progress *listProgress, objects Objects[T],
 	takeList func(all []T, at catalog.Position),
 	takeChanges func(changes []T),
 ) list {
 	return list{
-		name:    name,
-		reached: reached,
+		name:     name,
+		progress: progress,
 		read: func(ctx context.Context, stale bool) (catalog.Position, error) {
 			all, at, err := objects.List(ctx, stale)
 			if err == nil {
-				reached.state.ObserveEra(at.Era)
+				progress.state.ObserveEra(at.Era)
 				takeList(all, at)
 			}
 			return at, err
 		},
 		watch: func(ctx context.Context, after catalog.Position) (catalog.Position, error) {
-			ctx, cancel := context.WithTimeout(asWatch(ctx), watchTime+watchGrace)
+			ctx, cancel := context.WithTimeout(asWatch(ctx), watchWait+watchGrace)
 			defer cancel()
-			changes, at, err := objects.Await(ctx, after, watchTime)
+			changes, at, err := objects.Watch(ctx, after, watchWait)
 			if err == nil {
-				reached.state.ObserveEra(at.Era)
+				progress.state.ObserveEra(at.Era)
 				takeChanges(changes)
 			}
 			return at, err
@@ -114,21 +113,21 @@
 // what is newer. What callers may do and which zones are evacuated is read fresh.
 func (f *Follower) backEnds() list {
 	state := f.config.State
-	followed := listOf("back_ends", f.newReached(), f.config.Source.BackEnds(),
+	followed := listOf("back_ends", f.newProgress(), f.config.Source.BackEnds(),
 		func(all []catalog.Entry, at catalog.Position) {
-			f.entries.Store(int64(len(all)))
+			f.entryCount.Store(int64(len(all)))
 			state.OfferList(all, at, gateway.SourceStore)
 		},
 		func(changes []catalog.Entry) { state.OfferEntries(changes, gateway.SourceStore) },
 	)
-	followed.firstMayBeOld, followed.isLong = true, true
+	followed.firstMayBeStale, followed.isLong = true, true
 	return followed
 }
 
 // evacuations is the list of orders on zones.
 func (f *Follower) evacuations() list {
 	state := f.config.State
-	return listOf("evacuations", f.newReached(), f.config.Source.Evacuations(),
+	return listOf("evacuations", f.newProgress(), f.config.Source.Evacuations(),
 		func(all []catalog.Evacuation, at catalog.Position) {
 			state.OfferEvacuationList(all, at, gateway.SourceStore)
 		},
@@ -139,7 +138,7 @@
 // rollouts is the list of orders to move services to other versions.
 func (f *Follower) rollouts() list {
 	state := f.config.State
-	return listOf("rollouts", f.newReached(), f.config.Source.Rollouts(),
+	return listOf("rollouts", f.newProgress(), f.config.Source.Rollouts(),
 		func(all []catalog.Rollout, at catalog.Position) {
 			state.OfferRolloutList(all, at, gateway.SourceStore)
 		},
--- a/internal/follower/page.go
+++ b/internal/follower/page.go
@@ -12,7 +12,7 @@
 	// pageTries is how often a page after the first is asked for before its list is given
 	// up: a list of sixty pages that began anew with each late one would never end on a
 	// loaded link. The first page shows whether the store answers at all.
-	pageTries = 3
+	maxPageTries = 3
 	// maxPages bounds the pages of one list.
 	maxPages = 200
 )
@@ -57,14 +57,14 @@
 // ReadPage makes the call for a page of a list, again after a failure where pages before it
 // were read, and returns the error of the last try.
 func ReadPage[T any](ctx context.Context, first bool, call func(ctx context.Context) (Page[T], error)) (Page[T], error) {
-	tries := pageTries
+	tries := maxPageTries
 	if first {
 		tries = 1
 	}
 	var err error
 	for range tries {
 		var page Page[T]
-		if page, err = callOnce(ctx, call); err == nil {
+		if page, err = callWithTimeout(ctx, call); err == nil {
 			return page, nil
 		}
 	}
--- a/internal/follower/parsed.go
+++ b/internal/follower/parsed.go
@@ -8,7 +8,7 @@
 
 // Parsed keeps what was read last of an object: a large one is read again and again at the
 // position that it had.
-type Parsed[T any] struct {
+type ParseCache[T any] struct {
 	mutex sync.Mutex
 	value T
 	at    catalog.Position
@@ -17,7 +17,7 @@
 
 // At returns what is kept of the position, or what parse returns, which is kept unless it is an
 // error.
-func (p *Parsed[T]) At(at catalog.Position, parse func() (T, error)) (T, error) {
+func (p *ParseCache[T]) Get(at catalog.Position, parse func() (T, error)) (T, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.known && p.at == at {
--- a/internal/follower/recall.go
+++ b/internal/follower/recall.go
@@ -19,33 +19,33 @@
 	// recallDelay is how long after its start a gateway knows its peers. Callers wait that
 	// long for it to be ready where all gateways have started together: three gateways sent
 	// 12 requests in that time to a back end that bears 8 a second.
-	recallDelay = 100 * time.Millisecond
+	restorationsDelay = 100 * time.Millisecond
 	// recallLimit is how long a gateway waits for the store; by then back ends have said
 	// themselves that they are cold.
-	recallLimit = 3 * time.Second
+	restorationsTimeout = 3 * time.Second
 	// recallWait is how long the store may wait for changes after the last one.
-	recallWait = time.Millisecond
+	historyWait = time.Millisecond
 )
 
 // recallSteps are how many changes of the store a gateway looks back, the furthest first. The
 // store keeps its history for a time, and how many changes that is isn't known: a hundred are
 // the last seconds of a fleet whose back ends are being replaced, ten or three those of one
 // at rest.
-var recallSteps = []uint64{100, 30, 10, 3}
+var historySteps = []uint64{100, 30, 10, 3}
 
 // recallOrders takes zones that were restored of late from the store's history, if this
 // gateway is the one to do so.
-func (f *Follower) recallOrders(ctx context.Context, orders list) {
+func (f *Follower) readRestorations(ctx context.Context, orders list) {
 	began := f.config.State.Clock().Now()
-	sleep(ctx, recallDelay)
-	for ctx.Err() == nil && f.config.State.Clock().Since(began) < recallLimit {
-		position, ok := orders.reached.watchable()
+	sleep(ctx, restorationsDelay)
+	for ctx.Err() == nil && f.config.State.Clock().Since(began) < restorationsTimeout {
+		position, ok := orders.progress.watchStart()
 		if !ok {
-			sleep(ctx, regainLook)
+			sleep(ctx, pollInterval)
 			continue
 		}
 		if f.config.State.Place().Rank == 0 && f.config.State.HasWarmUps() {
-			f.recall(ctx, position)
+			f.readHistory(ctx, position)
 			f.config.State.SetRestorationsKnown()
 		}
 		return
@@ -53,12 +53,12 @@
 }
 
 // recall looks in the history before the position, as far back as there is one.
-func (f *Follower) recall(ctx context.Context, position catalog.Position) {
-	for _, step := range recallSteps {
+func (f *Follower) readHistory(ctx context.Context, position catalog.Position) {
+	for _, step := range historySteps {
 		if step > position.Revision {
 			continue
 		}
-		changes, err := f.ordersSince(ctx, catalog.Position{Era: position.Era, Revision: position.Revision - step})
+		changes, err := f.evacuationsSince(ctx, catalog.Position{Era: position.Era, Revision: position.Revision - step})
 		if errors.Is(err, ErrHistoryGone) {
 			continue
 		}
@@ -72,9 +72,9 @@
 }
 
 // ordersSince returns the orders that changed after the position.
-func (f *Follower) ordersSince(ctx context.Context, after catalog.Position) ([]catalog.Evacuation, error) {
+func (f *Follower) evacuationsSince(ctx context.Context, after catalog.Position) ([]catalog.Evacuation, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	changes, _, err := f.config.Source.Evacuations().Await(ctx, after, recallWait)
+	changes, _, err := f.config.Source.Evacuations().Watch(ctx, after, historyWait)
 	return changes, err
 }
--- a/internal/follower/recall_test.go
+++ b/internal/follower/recall_test.go
@@ -13,9 +13,9 @@
 
 // storeAfterARestoration is one whose history of the last 20 changes holds a zone that was
 // restored; the back ends lie there, and don't say yet that they are cold.
-func storeAfterARestoration() *source {
+func storeWithARestoration() *source {
 	return &source{
-		backEnds: 3, evacuations: true, changePeriod: time.Hour, firstRevision: 200, oldest: 180,
+		backEnds: 3, evacuations: true, changePeriod: time.Hour, firstRevision: 200, oldestRevision: 180,
 		restored:      []catalog.Evacuation{{Withdrawn: true, Revision: 195}},
 		configuration: &catalog.Configuration{Version: 1, Services: []catalog.Service{{Name: "s", WarmUpRate: 2, WarmUpTime: 3 * time.Second}}},
 	}
@@ -33,24 +33,24 @@
 
 // Where all gateways were killed together, the store's history alone tells which zones were
 // restored a moment ago.
-func TestRestoredZonesAreRecalledFromTheHistory(t *testing.T) {
+func TestRestoredZonesAreReadFromTheHistory(t *testing.T) {
 	is := is.New(t)
-	s := storeAfterARestoration()
+	s := storeWithARestoration()
 	follow(t, s, 23, true, func(state *gateway.State) {
-		time.Sleep(2 * recallDelay)
+		time.Sleep(2 * restorationsDelay)
 		is.True(state.Ready())
 		is.Equal(countCold(state), 3)
-		is.Equal(s.askedBefore.Load(), int64(2)) // 100 and 30 changes back
+		is.Equal(s.historyMisses.Load(), int64(2)) // 100 and 30 changes back
 	})
 }
 
 // One gateway looks, and tells the others.
-func TestOneGatewayRecalls(t *testing.T) {
+func TestOnlyTheFirstReaderReadsTheHistory(t *testing.T) {
 	is := is.New(t)
-	s := storeAfterARestoration()
+	s := storeWithARestoration()
 	follow(t, s, 23, true, func(state *gateway.State) {
 		state.SetFleet(gateway.Place{Gateways: 23, Duty: gateway.Reader, Rank: 1}, dispatch.Fleet{})
-		time.Sleep(2 * recallDelay)
-		is.Equal(s.askedBefore.Load(), int64(0))
+		time.Sleep(2 * restorationsDelay)
+		is.Equal(s.historyMisses.Load(), int64(0))
 	})
 }
--- a/internal/follower/rollouts.go
+++ b/internal/follower/rollouts.go
@@ -19,61 +19,61 @@
 
 const (
 	// rolloutLook is the time between two looks at roll-outs, a part of a round of tallies.
-	rolloutLook = 100 * time.Millisecond
+	rolloutInterval = 100 * time.Millisecond
 	// rolloutTurn is the time between the turns of those that read, and othersTurn how long
 	// after it was due the others begin to write what is missing.
-	rolloutTurn = 300 * time.Millisecond
-	othersTurn  = 2 * time.Second
+	readerStagger = 300 * time.Millisecond
+	othersDelay   = 2 * time.Second
 	// rolloutRetry is the time to the next try of the same gateway.
-	rolloutRetry = 500 * time.Millisecond
+	rolloutRetryInterval = 500 * time.Millisecond
 )
 
 // dueRollout is what a gateway found to be missing in the store, and when it writes it.
-type dueRollout struct {
+type pendingWrite struct {
 	record catalog.Rollout
 	at     time.Time
 }
 
 // decideRollouts looks at the roll-outs, which are those of the list, and writes what is due.
-func (f *Follower) decideRollouts(ctx context.Context, orders list) {
-	waiting := map[string]dueRollout{}
+func (f *Follower) recordRollouts(ctx context.Context, orders list) {
+	pending := map[string]pendingWrite{}
 	for ctx.Err() == nil {
-		sleep(ctx, rolloutLook)
+		sleep(ctx, rolloutInterval)
 		if !f.config.State.HasRollouts() {
 			continue
 		}
 		found := f.config.State.EvaluateRollouts()
 		now := f.config.State.Clock().Now()
-		still := map[string]dueRollout{}
+		stillPending := map[string]pendingWrite{}
 		for _, record := range found {
-			due, known := waiting[record.Service]
-			if !known || due.record.State != record.State {
-				due = dueRollout{at: now.Add(f.rolloutDelay())}
+			write, known := pending[record.Service]
+			if !known || write.record.State != record.State {
+				write = pendingWrite{at: now.Add(f.rolloutWriteDelay())}
 			}
-			due.record = record
-			if !now.Before(due.at) {
+			write.record = record
+			if !now.Before(write.at) {
 				f.writeRollout(ctx, orders, record)
-				due.at = f.config.State.Clock().Now().Add(jitter(rolloutRetry))
+				write.at = f.config.State.Clock().Now().Add(jitter(rolloutRetryInterval))
 			}
-			still[record.Service] = due
+			stillPending[record.Service] = write
 		}
-		waiting = still
+		pending = stillPending
 	}
 }
 
 // rolloutDelay is the time until this gateway writes what it found due.
-func (f *Follower) rolloutDelay() time.Duration {
+func (f *Follower) rolloutWriteDelay() time.Duration {
 	place := f.config.State.Place()
 	if place.Duty == gateway.Reader {
-		return time.Duration(place.Rank) * rolloutTurn
+		return time.Duration(place.Rank) * readerStagger
 	}
-	return othersTurn + rand.N(time.Duration(max(place.Gateways, 1))*time.Second/triesPerSecond)
+	return othersDelay + rand.N(time.Duration(max(place.Gateways, 1))*time.Second/triesPerSecond)
 }
 
 // writeRollout writes how far an order has come. Where the store knows it otherwise by now, that
 // is read.
 func (f *Follower) writeRollout(ctx context.Context, orders list, record catalog.Rollout) {
-	written, err := callOnce(ctx, func(ctx context.Context) (catalog.Rollout, error) {
+	written, err := callWithTimeout(ctx, func(ctx context.Context) (catalog.Rollout, error) {
 		return f.config.Source.WriteRollout(ctx, record)
 	})
 	if err == nil {
@@ -81,7 +81,7 @@
 		f.config.State.OfferRollouts([]catalog.Rollout{written}, gateway.SourceStore)
 		return
 	}
-	if errors.Is(err, ErrChanged) {
+	if errors.Is(err, ErrConflict) {
 		_, err = f.read(ctx, orders, false)
 	}
 	if err != nil && ctx.Err() == nil {
--- a/internal/follower/rollouts_test.go
+++ b/internal/follower/rollouts_test.go
@@ -25,8 +25,8 @@
 	order *catalog.Rollout
 	// writes are the states that were written, and loses how many further answers to writes
 	// that were done are lost.
-	writes []rollout.State
-	loses  int
+	writes      []rollout.State
+	lostAnswers int
 }
 
 func (s *rolloutSource) list(at catalog.Position) ([]catalog.Rollout, catalog.Position, error) {
@@ -43,14 +43,14 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.order == nil || s.order.Revision != record.Revision {
-		return catalog.Rollout{}, ErrChanged
+		return catalog.Rollout{}, ErrConflict
 	}
 	record.Unwritten = false
 	record.Revision++
 	s.order = &record
 	s.writes = append(s.writes, record.State)
-	if s.loses > 0 {
-		s.loses--
+	if s.lostAnswers > 0 {
+		s.lostAnswers--
 		return catalog.Rollout{}, errors.New("the answer is lost")
 	}
 	return record, nil
@@ -89,7 +89,7 @@
 
 // An order whose back ends never come is reverted at its deadline, and each state is written
 // once, however many gateways find it due.
-func TestStateOfARolloutIsWrittenOnce(t *testing.T) {
+func TestRolloutStateIsWrittenOnce(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
 	followRollouts(t, s, 3, func([]*gateway.State) { time.Sleep(20 * time.Second) })
@@ -100,7 +100,7 @@
 func TestLostAnswerOfAWriteDoesNotWriteTwice(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
-	s.rollouts.loses = 2
+	s.rollouts.lostAnswers = 2
 	followRollouts(t, s, 2, func(states []*gateway.State) {
 		time.Sleep(20 * time.Second)
 		for _, state := range states {
@@ -123,7 +123,7 @@
 }
 
 // A store that was restored to a copy from before a verdict is told it again.
-func TestVerdictIsWrittenAgainAfterARestore(t *testing.T) {
+func TestRolloutStateIsWrittenAgainAfterARestore(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3, evacuations: true}
 	s.era.Store(1)
--- a/internal/follower/source.go
+++ b/internal/follower/source.go
@@ -17,7 +17,7 @@
 var ErrHistoryGone = errors.New("the store has dropped that part of its history")
 
 // ErrChanged means that an object isn't any more as it was known.
-var ErrChanged = errors.New("the object has changed in the store")
+var ErrConflict = errors.New("the object has changed in the store")
 
 // Objects are those of one kind in the platform's store.
 type Objects[T any] struct {
@@ -26,7 +26,7 @@
 	List func(ctx context.Context, stale bool) ([]T, catalog.Position, error)
 	// Await waits for changes after the position. It returns none when there was none in time,
 	// and the position to go on from.
-	Await func(ctx context.Context, after catalog.Position, wait time.Duration) ([]T, catalog.Position, error)
+	Watch func(ctx context.Context, after catalog.Position, wait time.Duration) ([]T, catalog.Position, error)
 }
 
 // Source is the platform's store.
--- a/internal/follower/source_test.go
+++ b/internal/follower/source_test.go
@@ -31,15 +31,15 @@
 	firstRevision uint64
 	// deaf is set where each watch waits on a connection that has fallen silent, and
 	// unanswered is how many further plain reads get no answer in time.
-	deaf       atomic.Bool
+	silent     atomic.Bool
 	unanswered atomic.Int64
 	// configuration is the document, or nil for an empty one.
 	configuration *catalog.Configuration
 	// restored are the orders that were taken back of late, in the history of the store,
 	// which begins at the revision oldest; askedBefore counts the watches from before.
-	restored    []catalog.Evacuation
-	oldest      uint64
-	askedBefore atomic.Int64
+	restored       []catalog.Evacuation
+	oldestRevision uint64
+	historyMisses  atomic.Int64
 	// rollouts is how the store keeps orders to move services.
 	rollouts rolloutSource
 	// withheld is how the store keeps withheld requests.
@@ -54,7 +54,7 @@
 var bubbleStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // at is the position of the moment.
-func (s *source) at() catalog.Position {
+func (s *source) position() catalog.Position {
 	if s.changePeriod == 0 {
 		return catalog.Position{Era: s.era.Load(), Revision: 1}
 	}
@@ -62,24 +62,26 @@
 }
 
 // first is the position of a store that hasn't changed.
-func (s *source) first() catalog.Position { return catalog.Position{Era: s.era.Load(), Revision: 1} }
+func (s *source) firstPosition() catalog.Position {
+	return catalog.Position{Era: s.era.Load(), Revision: 1}
+}
 
-var errAway = errors.Wrap(context.DeadlineExceeded, "the store is away")
+var errUnavailable = errors.Wrap(context.DeadlineExceeded, "the store is away")
 
 func (s *source) Configurations() Objects[*catalog.Configuration] {
-	return Objects[*catalog.Configuration]{List: s.listConfiguration, Await: s.awaitConfiguration}
+	return Objects[*catalog.Configuration]{List: s.listConfiguration, Watch: s.watchConfiguration}
 }
 
 func (s *source) BackEnds() Objects[catalog.Entry] {
-	return Objects[catalog.Entry]{List: s.listBackEnds, Await: s.awaitBackEnds}
+	return Objects[catalog.Entry]{List: s.listBackEnds, Watch: s.watchBackEnds}
 }
 
 func (s *source) Evacuations() Objects[catalog.Evacuation] {
-	return Objects[catalog.Evacuation]{List: s.listEvacuations, Await: s.awaitEvacuations}
+	return Objects[catalog.Evacuation]{List: s.listEvacuations, Watch: s.watchEvacuations}
 }
 
 func (s *source) Rollouts() Objects[catalog.Rollout] {
-	return Objects[catalog.Rollout]{List: s.listRollouts, Await: s.awaitRollouts}
+	return Objects[catalog.Rollout]{List: s.listRollouts, Watch: s.watchRollouts}
 }
 
 func (s *source) listConfiguration(_ context.Context, stale bool) ([]*catalog.Configuration, catalog.Position, error) {
@@ -88,16 +90,16 @@
 		s.staleReads.Add(1)
 	}
 	if s.failing.Load() || s.unanswered.Add(-1) >= 0 {
-		return nil, catalog.Position{}, errAway
+		return nil, catalog.Position{}, errUnavailable
 	}
 	if s.configuration != nil {
-		return []*catalog.Configuration{s.configuration}, s.at(), nil
+		return []*catalog.Configuration{s.configuration}, s.position(), nil
 	}
-	return []*catalog.Configuration{{Version: 1}}, s.first(), nil
+	return []*catalog.Configuration{{Version: 1}}, s.firstPosition(), nil
 }
 
-func (s *source) awaitConfiguration(ctx context.Context, after catalog.Position, wait time.Duration) ([]*catalog.Configuration, catalog.Position, error) {
-	return nil, after, s.await(ctx, wait)
+func (s *source) watchConfiguration(ctx context.Context, after catalog.Position, wait time.Duration) ([]*catalog.Configuration, catalog.Position, error) {
+	return nil, after, s.waitFor(ctx, wait)
 }
 
 func (s *source) listBackEnds(_ context.Context, stale bool) ([]catalog.Entry, catalog.Position, error) {
@@ -106,16 +108,16 @@
 		s.staleReads.Add(1)
 	}
 	if s.failing.Load() {
-		return nil, catalog.Position{}, errAway
+		return nil, catalog.Position{}, errUnavailable
 	}
 	entries := make([]catalog.Entry, s.backEnds)
 	for i := range entries {
 		entries[i] = catalog.Entry{BackEnd: catalog.BackEnd{ID: fmt.Sprint(i), Service: "s"}, Revision: 1, Era: s.era.Load()}
 	}
-	return entries, s.first(), nil
+	return entries, s.firstPosition(), nil
 }
 
-func (s *source) awaitBackEnds(ctx context.Context, after catalog.Position, wait time.Duration) ([]catalog.Entry, catalog.Position, error) {
+func (s *source) watchBackEnds(ctx context.Context, after catalog.Position, wait time.Duration) ([]catalog.Entry, catalog.Position, error) {
 	s.watches.Add(1)
 	if s.cuts.Add(-1) >= 0 {
 		return nil, catalog.Position{}, errors.New("cut")
@@ -123,8 +125,8 @@
 	if s.changePeriod > 0 {
 		wait = s.changePeriod
 	}
-	err := s.await(ctx, wait)
-	if at := s.at(); at.Compare(after) > 0 {
+	err := s.waitFor(ctx, wait)
+	if at := s.position(); at.Compare(after) > 0 {
 		after = at
 	}
 	return nil, after, err
@@ -132,12 +134,12 @@
 
 func (s *source) listEvacuations(context.Context, bool) ([]catalog.Evacuation, catalog.Position, error) {
 	s.evacuationReads.Add(1)
-	return nil, s.at(), nil
+	return nil, s.position(), nil
 }
 
-func (s *source) awaitEvacuations(ctx context.Context, after catalog.Position, wait time.Duration) ([]catalog.Evacuation, catalog.Position, error) {
-	if after.Revision < s.oldest {
-		s.askedBefore.Add(1)
+func (s *source) watchEvacuations(ctx context.Context, after catalog.Position, wait time.Duration) ([]catalog.Evacuation, catalog.Position, error) {
+	if after.Revision < s.oldestRevision {
+		s.historyMisses.Add(1)
 		return nil, catalog.Position{}, ErrHistoryGone
 	}
 	var changes []catalog.Evacuation
@@ -147,28 +149,28 @@
 		}
 	}
 	if len(changes) > 0 {
-		return changes, s.at(), nil
+		return changes, s.position(), nil
 	}
-	return nil, after, s.await(ctx, wait)
+	return nil, after, s.waitFor(ctx, wait)
 }
 
 func (s *source) listRollouts(context.Context, bool) ([]catalog.Rollout, catalog.Position, error) {
-	return s.rollouts.list(s.first())
+	return s.rollouts.list(s.firstPosition())
 }
 
-func (s *source) awaitRollouts(ctx context.Context, after catalog.Position, wait time.Duration) ([]catalog.Rollout, catalog.Position, error) {
-	return nil, after, s.await(ctx, wait)
+func (s *source) watchRollouts(ctx context.Context, after catalog.Position, wait time.Duration) ([]catalog.Rollout, catalog.Position, error) {
+	return nil, after, s.waitFor(ctx, wait)
 }
 
 func (s *source) WriteRollout(_ context.Context, record catalog.Rollout) (catalog.Rollout, error) {
 	return s.rollouts.write(record)
 }
 
-func (s *source) await(ctx context.Context, wait time.Duration) error {
+func (s *source) waitFor(ctx context.Context, wait time.Duration) error {
 	if s.failing.Load() {
-		return errAway
+		return errUnavailable
 	}
-	if s.deaf.Load() {
+	if s.silent.Load() {
 		<-ctx.Done()
 		return ctx.Err()
 	}
--- a/internal/follower/start_test.go
+++ b/internal/follower/start_test.go
@@ -18,9 +18,9 @@
 
 // Of a fleet that starts for the first time the seeds read the store, and tell the others: one
 // that was told all makes no call of its own, and one that wasn't reads in time.
-func TestPeersAreHeardBeforeTheStoreIsRead(t *testing.T) {
+func TestPeersFirstDelaysReadingTheStore(t *testing.T) {
 	is := is.New(t)
-	start := func(told bool) (reads int64, ready bool) {
+	start := func(updated bool) (reads int64, ready bool) {
 		bubble.Test(t, func(*testing.T) {
 			s := &source{backEnds: 3}
 			log := eventlog.New(io.Discard, logrus.InfoLevel, nil)
@@ -28,7 +28,7 @@
 			f := Start(Config{Source: s, State: state, ReadPeriod: 800 * time.Millisecond, PeersFirst: true, Log: log, Metrics: tally.NoopScope})
 			state.SetFleet(placeOf(23, false), dispatch.Fleet{})
 			time.Sleep(300 * time.Millisecond)
-			if told {
+			if updated {
 				state.OfferConfiguration(&catalog.Configuration{Version: 1}, gateway.SourcePeer)
 				state.OfferBuckets(catalog.AllBuckets, nil)
 			}
--- a/internal/follower/watches.go
+++ b/internal/follower/watches.go
@@ -15,16 +15,16 @@
 type watches struct {
 	mutex sync.Mutex
 	// term is the context of all watches of the moment, and end ends it.
-	parent context.Context
-	term   context.Context
-	end    context.CancelFunc
+	parent  context.Context
+	current context.Context
+	cancel  context.CancelFunc
 	// doubted is set after a call that got no answer in time.
-	doubted bool
+	timedOut bool
 }
 
 func newWatches(parent context.Context) *watches {
 	w := &watches{parent: parent}
-	w.term, w.end = context.WithCancel(parent)
+	w.current, w.cancel = context.WithCancel(parent)
 	return w
 }
 
@@ -32,39 +32,39 @@
 func (w *watches) context() context.Context {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.term
+	return w.current
 }
 
 // renew ends the watches: they began in a history of the store that has ended.
-func (w *watches) renew() {
+func (w *watches) restart() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.end()
-	w.term, w.end = context.WithCancel(w.parent)
+	w.cancel()
+	w.current, w.cancel = context.WithCancel(w.parent)
 }
 
 // noAnswer notes a plain call that got no answer in time.
-func (w *watches) noAnswer() {
+func (w *watches) noteTimeout() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.doubted = true
+	w.timedOut = true
 }
 
 // answered notes a plain call that got one, and ends the watches if an earlier one didn't.
-func (w *watches) answered() {
+func (w *watches) noteAnswer() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if !w.doubted {
+	if !w.timedOut {
 		return
 	}
-	w.doubted = false
-	w.end()
-	w.term, w.end = context.WithCancel(w.parent)
+	w.timedOut = false
+	w.cancel()
+	w.current, w.cancel = context.WithCancel(w.parent)
 }
 
 // close ends all watches for good.
 func (w *watches) close() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.end()
+	w.cancel()
 }
--- a/internal/follower/withheld.go
+++ b/internal/follower/withheld.go
@@ -14,9 +14,9 @@
 // such request.
 
 // keepWithheld reads the list and then writes what this gateway observes.
-func (f *Follower) keepWithheld(ctx context.Context) {
+func (f *Follower) syncWithheld(ctx context.Context) {
 	if !f.config.FirstStart {
-		f.persist(ctx, f.readWithheld)
+		f.retryCall(ctx, f.readWithheld)
 	}
 	for {
 		select {
@@ -25,29 +25,29 @@
 			return
 		}
 		for _, change := range f.config.State.TakeUnrecorded() {
-			f.persist(ctx, func(ctx context.Context) error { return f.writeWithheld(ctx, change) })
+			f.retryCall(ctx, func(ctx context.Context) error { return f.writeWithheld(ctx, change) })
 		}
 	}
 }
 
 // longestRecordPause bounds the wait after a failed call for withheld requests: a store that
 // refuses them for good is called seldom, and nobody waits.
-const longestRecordPause = 10 * time.Second
+const maxRecordBackoff = 10 * time.Second
 
 // persist makes a call until the store has done it. That it fails says nothing of the store's
 // lists, whose reads tell whether the store is lost.
-func (f *Follower) persist(ctx context.Context, call func(ctx context.Context) error) {
-	pause := firstPause
+func (f *Follower) retryCall(ctx context.Context, call func(ctx context.Context) error) {
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		_, err := callOnce(ctx, func(ctx context.Context) (struct{}, error) { return struct{}{}, call(ctx) })
+		_, err := callWithTimeout(ctx, func(ctx context.Context) (struct{}, error) { return struct{}{}, call(ctx) })
 		if err == nil {
 			return
 		}
-		if pause == firstPause {
+		if backoff == minBackoff {
 			f.config.Log.Entry().WithError(err).Warn("the store can't be told, or asked, which requests are withheld; trying again")
 		}
-		sleep(ctx, jitter(max(pause, f.leastPause())))
-		pause = min(2*pause, longestRecordPause)
+		sleep(ctx, jitter(max(backoff, f.minRetryWait())))
+		backoff = min(2*backoff, maxRecordBackoff)
 	}
 }
 
--- a/internal/follower/withheld_test.go
+++ b/internal/follower/withheld_test.go
@@ -39,7 +39,7 @@
 }
 
 // counted returns the number of calls so far.
-func (s *withheldSource) counted() int {
+func (s *withheldSource) callCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls
@@ -63,16 +63,16 @@
 }
 
 // crashesOf returns a record of three crashes.
-func crashesOf(fingerprint dispatch.Fingerprint, at time.Time) dispatch.CrashRecord {
+func crashRecord(fingerprint dispatch.Fingerprint, at time.Time) dispatch.CrashRecord {
 	return dispatch.CrashRecord{Fingerprint: fingerprint, Incarnations: []uint32{1, 2, 3}, Evidence: []uint8{3, 3, 3}, LastAt: at.Unix()}
 }
 
-func TestStartedGatewayReadsWhatIsWithheld(t *testing.T) {
+func TestStartedGatewayReadsWithheldRequests(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &source{backEnds: 1}
 		s.withheld.records = map[dispatch.Fingerprint]dispatch.CrashRecord{
-			7: crashesOf(7, time.Now()), 8: crashesOf(8, time.Now().Add(-48*time.Hour)),
+			7: crashRecord(7, time.Now()), 8: crashRecord(8, time.Now().Add(-48*time.Hour)),
 		}
 		s.withheld.refusals = 3
 		core := dispatch.New(dispatch.DefaultConfig())
@@ -80,12 +80,12 @@
 		defer log.Close()
 		f := Start(Config{Source: s, State: gateway.NewState(core, log), ReadPeriod: time.Second, Log: log, Metrics: tally.NoopScope})
 		time.Sleep(5 * time.Second)
-		calls := s.withheld.counted()
+		calls := s.withheld.callCount()
 		time.Sleep(time.Minute)
 		f.Close()
 		is.Equal(core.Withheld(), []dispatch.Fingerprint{7})
-		is.Equal(len(s.withheld.records), 1)  // the outdated one is removed
-		is.Equal(s.withheld.counted(), calls) // and the list isn't read again
-		is.Equal(s.withheld.records[7].LastAt, crashesOf(7, bubbleStart).LastAt)
+		is.Equal(len(s.withheld.records), 1)    // the outdated one is removed
+		is.Equal(s.withheld.callCount(), calls) // and the list isn't read again
+		is.Equal(s.withheld.records[7].LastAt, crashRecord(7, bubbleStart).LastAt)
 	})
 }
--- a/internal/gateway/eras.go
+++ b/internal/gateway/eras.go
@@ -26,7 +26,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	before := s.view.Era()
-	if !s.view.HearEra(era) {
+	if !s.view.ObserveEra(era) {
 		return
 	}
 	close(s.eraChanged)
--- a/internal/gateway/update.go
+++ b/internal/gateway/update.go
@@ -69,22 +69,22 @@
 }
 
 // ChecksumsOf returns checksums of the known back ends in the buckets.
-func (s *State) ChecksumsOf(buckets catalog.Buckets) catalog.Sums {
+func (s *State) ChecksumsOf(buckets catalog.Buckets) catalog.Checksums {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.view.SumsOf(buckets)
+	return s.view.ChecksumsOf(buckets)
 }
 
 // MissingEntries returns the back ends in the buckets that are missing at a peer that knows
 // those with the given checksums. listed is false while this gateway has no complete list and
 // can't answer.
-func (s *State) MissingEntries(buckets catalog.Buckets, known catalog.Sums) (entries []catalog.Entry, listed bool) {
+func (s *State) MissingEntries(buckets catalog.Buckets, known catalog.Checksums) (entries []catalog.Entry, listed bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.listed {
 		return nil, false
 	}
-	return s.view.Lacked(buckets, known), true
+	return s.view.MissingEntries(buckets, known), true
 }
 
 // Cursors are the positions up to which a peer has been sent the state.
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -36,7 +36,7 @@
 // peerQuestion is a peer's question for back ends: the buckets, and those that it knows.
 type peerQuestion struct {
 	buckets catalog.Buckets
-	known   catalog.Sums
+	known   catalog.Checksums
 }
 
 // noteAsked remembers what the peer asked for.
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -39,9 +39,9 @@
 	// Lacking are buckets in which the receiver's digest differs from what the sender
 	// knows: it asks for their entries but those of Sums. Answer are buckets that the
 	// receiver asked for; all that it lacks of them is among Entries.
-	Lacking catalog.Buckets `cbor:"16,keyasint,omitempty"`
-	Answer  catalog.Buckets `cbor:"17,keyasint,omitempty"`
-	Sums    catalog.Sums    `cbor:"18,keyasint,omitempty"`
+	Lacking catalog.Buckets   `cbor:"16,keyasint,omitempty"`
+	Answer  catalog.Buckets   `cbor:"17,keyasint,omitempty"`
+	Sums    catalog.Checksums `cbor:"18,keyasint,omitempty"`
 	// Zone and Capacity are the sender's; see Peer.
 	Zone     string `cbor:"12,keyasint,omitempty"`
 	Capacity int    `cbor:"13,keyasint,omitempty"`
--- a/internal/relay/repair_test.go
+++ b/internal/relay/repair_test.go
@@ -110,7 +110,7 @@
 		if asked == 0 {
 			return
 		}
-		message = Message{Answer: asked, Entries: teller.Lacked(asked, asker.SumsOf(asked))}
+		message = Message{Answer: asked, Entries: teller.MissingEntries(asked, asker.ChecksumsOf(asked))}
 		asker.OfferEntries(message.Entries)
 	}
 }
