--- a/internal/catalog/check.go
+++ b/internal/catalog/check.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// mostSlots and longestWarmUp bound what an entry may tell, LongestRollout the time of an
-	// order to move a service.
+	// maxSlots and maxWarmUp limit the values of an entry. MaxRolloutDuration limits the time
+	// within which an order moves a service to another version.
 	maxSlots           = 1 << 20
 	maxWarmUp          = 24 * time.Hour
 	MaxRolloutDuration = 7 * 24 * time.Hour
 )
 
-// WithSizes returns the entry with slots and a warm-up in milliseconds, as another writer told
-// them, and what is wrong with it, or "".
+// WithCapacity validates the entry and returns it with the slots and the warm-up in milliseconds
+// that its writer gave. It returns the fault if there is one, or "".
 func (e Entry) WithCapacity(slots, warmUpMillis float64) (Entry, Fault) {
 	for _, field := range []string{e.BackEnd.Service, e.BackEnd.Address, e.BackEnd.Zone} {
 		if field == "" {
@@ -32,7 +32,7 @@
 	return e, ""
 }
 
-// Check returns what is wrong with the order, or "".
+// Check returns the order's fault, or "".
 func (r Rollout) Check() Fault {
 	switch {
 	case r.Service == "" || r.Target == "":
--- a/internal/catalog/configuration.go
+++ b/internal/catalog/configuration.go
@@ -1,7 +1,7 @@
-// Package catalog holds what a gateway knows of its surroundings: the
-// operators' configuration and the back ends that are in service. Both come from
-// several sources of different age (reads, watches, peers), and a View accepts
-// only what is newer than what it holds.
+// Package catalog holds a gateway's view of the fleet: the operators' configuration and orders,
+// and the back ends in service. They come from several sources of different age (reads and
+// watches of the platform's store, and peers). A View accepts only what is newer than what it
+// holds.
 //
 // The package does no I/O and reads no clock.
 package catalog
@@ -12,46 +12,47 @@
 	"github.com/go-faster/errors"
 )
 
-// Target is one service of a route with its share of the requests.
+// Target is a service of a route with its share of the requests.
 type Target struct {
 	// Service is the service's name.
 	Service string `cbor:"1,keyasint"`
-	// Weight is the share, relative to the route's other targets.
+	// Weight is the share relative to the weights of the route's other targets.
 	Weight int `cbor:"2,keyasint"`
 }
 
-// Route says what happens to requests for a host and path prefix.
+// Route defines how requests for a host and path prefix are handled.
 type Route struct {
 	// Name is unique in a configuration.
 	Name string `cbor:"1,keyasint"`
-	// Host is the request's host without a port, in lower case.
+	// Host is the request's host without a port. Letter case doesn't matter.
 	Host string `cbor:"2,keyasint"`
-	// Prefix begins the path; it begins and ends with a slash.
+	// Prefix is the path prefix. It begins and ends with a slash.
 	Prefix string `cbor:"3,keyasint"`
-	// Targets are the services that may run the request; at least one.
+	// Targets are the services that may run the request. There is at least one.
 	Targets []Target `cbor:"4,keyasint"`
-	// Repeatable is true when a request may run more than once.
+	// Repeatable is true if a request may run more than once. It doesn't apply to streams.
 	Repeatable bool `cbor:"5,keyasint,omitempty"`
-	// Stream is true when the answer is a series of events.
+	// Stream is true if the answer is a stream of events.
 	Stream bool `cbor:"6,keyasint,omitempty"`
-	// Resumable is true when a stream may be continued by another back end.
+	// Resumable is true if another back end may continue a stream.
 	Resumable bool `cbor:"7,keyasint,omitempty"`
-	// Timeout is the longest time that a request may be held.
+	// Timeout is the longest time that a request may take.
 	Timeout time.Duration `cbor:"8,keyasint"`
-	// Objective is the time to an answer, or a stream's first event, that the
-	// operators promise.
+	// Objective is the operators' latency objective: the time to the answer, or to the first
+	// event of a stream.
 	Objective time.Duration `cbor:"9,keyasint"`
-	// PauseObjective is the longest promised pause between two events.
+	// PauseObjective is the operators' objective for the longest pause between two events of a
+	// stream.
 	PauseObjective time.Duration `cbor:"10,keyasint,omitempty"`
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int `cbor:"11,keyasint,omitempty"`
-	// MaxAttempts is the number of back ends that one request may be sent to.
+	// MaxAttempts is the maximum number of attempts of one request.
 	MaxAttempts int `cbor:"12,keyasint"`
-	// Public routes need no key.
+	// Public is true if requests need no key.
 	Public bool `cbor:"13,keyasint,omitempty"`
 }
 
-// MayRepeat tells whether a request of the route may run more than once.
+// MayRepeat reports whether a request of the route may run more than once.
 func (r *Route) MayRepeat() bool {
 	if r.Stream {
 		return r.Resumable
@@ -59,58 +60,58 @@
 	return r.Repeatable
 }
 
-// Service is a pool of like back ends.
+// Service is a pool of interchangeable back ends.
 type Service struct {
 	// Name is unique in a configuration.
 	Name string `cbor:"1,keyasint"`
-	// MaxConnections is how many connections one back end accepts from all
-	// callers together; 0 when unknown.
+	// MaxConnections is the number of connections that one back end accepts from all callers
+	// together; 0 if unknown.
 	MaxConnections int `cbor:"2,keyasint,omitempty"`
-	// CachesPrefixes is true for model engines, which keep the prompts that they
-	// have read.
+	// CachesPrefixes is true for model engines, which cache the prompts that they have processed.
 	CachesPrefixes bool `cbor:"3,keyasint,omitempty"`
-	// CacheTokens is how many tokens one back end's memory holds, for the requests
-	// that run and the prompts that are kept; 0 when unknown.
+	// CacheTokens is the number of tokens that fit into the memory of one back end, for running
+	// requests and cached prompts together; 0 if unknown.
 	CacheTokens int `cbor:"4,keyasint,omitempty"`
-	// WarmUpRate is how many requests a second one back end bears, from all gateways
-	// together, while it warms up, and WarmUpTime how long that lasts after a start; 0
-	// where back ends are as able cold as warm.
+	// WarmUpRate is the number of requests per second that one back end can serve, from all
+	// gateways together, while it warms up. WarmUpTime is the length of the warm-up after a
+	// start. Both are 0 if back ends need no warm-up.
 	WarmUpRate float64       `cbor:"5,keyasint,omitempty"`
 	WarmUpTime time.Duration `cbor:"6,keyasint,omitempty"`
 }
 
-// Tenant owns keys.
+// Tenant owns API keys.
 type Tenant struct {
 	// Name is unique in a configuration.
 	Name string `cbor:"1,keyasint"`
-	// Keys are the keys in force.
+	// Keys are the valid API keys.
 	Keys []string `cbor:"2,keyasint"`
-	// Priority ranks tenants before routes; 0 is the most urgent.
+	// Priority ranks tenants and takes precedence over the routes' priority; 0 is the most
+	// urgent.
 	Priority int `cbor:"3,keyasint,omitempty"`
 }
 
-// Limits bound what callers may send.
+// Limits are the limits on requests of callers.
 type Limits struct {
-	// MaxBodyBytes bounds a request's body; 0 sets no bound.
+	// MaxBodyBytes is the largest size of a request body; 0 means no limit.
 	MaxBodyBytes int64 `cbor:"1,keyasint,omitempty"`
 }
 
-// Configuration is one version of the operators' document.
+// Configuration is one version of the operators' configuration document.
 type Configuration struct {
-	// Version rises with every change, not always by one.
+	// Version increases with every change, not always by one.
 	Version uint64 `cbor:"1,keyasint"`
-	// Routes, Services and Tenants are complete.
+	// Routes, Services and Tenants are complete lists.
 	Routes   []Route   `cbor:"2,keyasint"`
 	Services []Service `cbor:"3,keyasint"`
 	Tenants  []Tenant  `cbor:"4,keyasint"`
-	// Limits bound what callers may send.
+	// Limits are the limits on requests of callers.
 	Limits Limits `cbor:"5,keyasint"`
 }
 
-// Check returns an error that names the field which can't be used.
+// Check returns an error that names the first invalid field, or nil.
 func (c *Configuration) Check() error {
 	if c.Version == 0 {
-		return errors.New("version is missing; write a number above 0")
+		return errors.New("version is missing; it must be greater than 0")
 	}
 	for i := range c.Routes {
 		if err := c.Routes[i].check(); err != nil {
@@ -119,7 +120,7 @@
 	}
 	for _, tenant := range c.Tenants {
 		if tenant.Name == "" {
-			return errors.New("a tenant has no name; name it")
+			return errors.New("tenant has no name")
 		}
 	}
 	return nil
@@ -127,18 +128,18 @@
 
 func (r *Route) check() error {
 	if len(r.Prefix) == 0 || r.Prefix[0] != '/' || r.Prefix[len(r.Prefix)-1] != '/' {
-		return errors.Errorf("path prefix %q doesn't begin and end with a slash; add it", r.Prefix)
+		return errors.Errorf("path prefix %q must begin and end with a slash", r.Prefix)
 	}
 	if len(r.Targets) == 0 {
-		return errors.New("it has no service; name one")
+		return errors.New("route has no target service")
 	}
 	for _, target := range r.Targets {
 		if target.Service == "" || target.Weight < 0 {
-			return errors.Errorf("target %q with weight %d can't be used; name a service and a weight of at least 0", target.Service, target.Weight)
+			return errors.Errorf("target %q with weight %d is invalid; it must name a service, and the weight must not be negative", target.Service, target.Weight)
 		}
 	}
 	if r.Timeout <= 0 {
-		return errors.Errorf("time-out %v can't be used; write one above 0", r.Timeout)
+		return errors.Errorf("timeout %v is invalid; it must be greater than 0", r.Timeout)
 	}
 	return nil
 }
--- a/internal/catalog/digest.go
+++ b/internal/catalog/digest.go
@@ -6,28 +6,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest sums up the back ends that a view knows to be in service, so that two
-// gateways find out what one of them lacks without telling each other everything. It
-// has DigestBuckets sums, each over the back ends whose IDs hash to it; nil stands for
-// a gateway that has no list.
+// Digest summarizes the back ends that a view knows to be in service. By comparing digests, two
+// gateways find the differences between their views without exchanging all entries
+// (anti-entropy). It has DigestBuckets checksums, each over the back ends whose IDs hash to the
+// bucket. nil stands for a gateway that has no list.
 type Digest []uint32
 
-// DigestBuckets trades the size of a digest, 5 bytes a bucket, against what is sent for
-// one difference: a bucket's share of all back ends. At 3,000 back ends that is 47 of
-// about 75 bytes.
+// DigestBuckets is the number of buckets. It balances the size of a digest, 5 bytes per bucket,
+// against the cost of one difference, which is in proportion to a bucket's share of all back
+// ends: at 3,000 back ends, 47 entries of about 75 bytes.
 const DigestBuckets = 64
 
-// Buckets is a set of a digest's buckets, a bit for each.
+// Buckets is a set of a digest's buckets, with one bit for each.
 type Buckets uint64
 
-// AllBuckets is all of them: the whole list.
+// AllBuckets contains all buckets and thus stands for the whole list.
 const AllBuckets = ^Buckets(0)
 
-// Has tells whether the bucket is in the set.
+// Has reports whether the bucket is in the set.
 func (b Buckets) Has(bucket int) bool { return b>>bucket&1 == 1 }
 
-// Differing returns the buckets in which two digests differ: all of them where one is
-// missing or of another length.
+// Differing returns the buckets in which two digests differ. These are all buckets if one of the
+// digests is missing or has another length.
 func (d Digest) Differing(other Digest) Buckets {
 	if len(d) != DigestBuckets || len(other) != DigestBuckets {
 		return AllBuckets
@@ -43,22 +43,24 @@
 
 func bucketOf(id string) int { return int(xxhash.Sum64String(id) % DigestBuckets) }
 
-// leavingFactor is odd, so that it maps the hashes of IDs one to one.
+// leavingFactor is odd, so that multiplying by it maps the hashes of IDs one to one.
 const leavingFactor = 0x9e3779b97f4a7c15
 
-// sumOf is an entry's part in its bucket's sum: what may change while it is listed, but for
-// its warm-up, which ends by itself. The sum of a back end that leaves isn't a linear map
-// of its other one: with the complement, say, two views of which each knows another back
-// end of a bucket to leave would have equal sums, and never tell each other.
+// checksumOf returns an entry's contribution to the checksum of its bucket. It covers what may
+// change while a back end is listed, namely whether it is leaving, except the warm-up, which ends
+// without an update. The checksum of a leaving back end isn't a linear function of the one that
+// it had before. If it were, such as the complement, two views that each consider a different
+// back end of a bucket to be leaving would have equal checksums for the bucket, and would never
+// find the difference.
 func checksumOf(entry Entry) uint32 {
 	sum := xxhash.Sum64String(entry.BackEnd.ID)
 	if entry.BackEnd.Leaving {
 		sum *= leavingFactor
 	}
-	return uint32(sum >> 32) // the bucket takes the low bits
+	return uint32(sum >> 32) // the low bits select the bucket
 }
 
-// Digest returns the sums of the moment. The caller must not change them.
+// Digest returns the current digest. The caller must not modify it.
 func (v *View) Digest() Digest {
 	if now := v.entries.version(); v.digest == nil || v.digestVersion != now {
 		v.digest, v.digestVersion = v.computeDigest(), now
@@ -76,13 +78,13 @@
 	return digest
 }
 
-// Sums are those of the back ends that a view knows to be in service, sumBytes each. They
-// tell a peer which entries not to send.
+// Checksums are the checksums of the back ends that a view knows to be in service, checksumBytes
+// bytes each. A peer uses them to leave out the entries that the view already has.
 type Checksums []byte
 
 const checksumBytes = 4
 
-// SumsOf returns the sums of the back ends of the buckets.
+// ChecksumsOf returns the checksums of the back ends in the buckets.
 func (v *View) ChecksumsOf(buckets Buckets) Checksums {
 	var checksums Checksums
 	for id, entry := range v.entries.records {
@@ -93,7 +95,7 @@
 	return checksums
 }
 
-// set returns the set of the sums.
+// set returns the checksums as a set.
 func (s Checksums) set() map[uint32]bool {
 	set := make(map[uint32]bool, len(s)/checksumBytes)
 	for rest := s; len(rest) >= checksumBytes; rest = rest[checksumBytes:] {
@@ -102,8 +104,9 @@
 	return set
 }
 
-// Lacked returns the entries of the buckets that a peer lacks which knows the back ends of
-// the sums: those in service that aren't among them, and the removals of those that are.
+// MissingEntries returns the entries in the buckets that are missing at a peer that knows the
+// back ends with the given checksums: back ends in service that aren't among them, and removals
+// of back ends that are.
 func (v *View) MissingEntries(buckets Buckets, known Checksums) []Entry {
 	knownSet := known.set()
 	var missing []Entry
--- a/internal/catalog/digest_test.go
+++ b/internal/catalog/digest_test.go
@@ -26,7 +26,8 @@
 	is.Equal(first.Digest().Differing(second.Digest()), Buckets(0))
 }
 
-// lackedBy returns what the teller answers a gateway that compared digests with it.
+// missingEntries returns the entries that the responder sends to a requester that has compared
+// its digest with that of the responder.
 func missingEntries(requester, responder *View) []Entry {
 	differing := requester.Digest().Differing(responder.Digest())
 	return responder.MissingEntries(differing, requester.ChecksumsOf(differing))
@@ -53,8 +54,8 @@
 	}
 }
 
-// The removal of one back end and of another one of its bucket don't cancel out: a view
-// that knows the one leaving differs from a view that knows the other.
+// Two back ends of one bucket must not cancel each other out in the checksum: a view in which one
+// of them is leaving differs from a view in which the other one is.
 func TestDigestDistinguishesWhichBackEndIsLeaving(t *testing.T) {
 	is := is.New(t)
 	ids := idsOfBucket(0, 2)
@@ -64,7 +65,7 @@
 	is.Equal(len(missingEntries(second, first)), 2)
 }
 
-// idsOfBucket returns as many IDs as asked for that fall into the bucket.
+// idsOfBucket returns count IDs that hash to the bucket.
 func idsOfBucket(bucket, count int) []string {
 	var ids []string
 	for i := 0; len(ids) < count; i++ {
@@ -75,8 +76,8 @@
 	return ids
 }
 
-// Whatever two gateways have heard, after each told the other what differs they know
-// the same.
+// After two gateways have sent each other the entries that the other is missing, their views are
+// equal, whatever updates each had received before.
 func TestExchangeOfMissingEntriesMakesViewsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := NewView(), NewView()
@@ -86,7 +87,7 @@
 				Gone:     rapid.Bool().Draw(t, "gone"),
 				Revision: rapid.Uint64Range(1, 5).Draw(t, "revision"),
 			}
-			entry.BackEnd.Leaving = entry.Revision > 3 // a revision says one thing
+			entry.BackEnd.Leaving = entry.Revision > 3 // a revision has only one content
 			if rapid.Bool().Draw(t, "first") {
 				first.OfferEntries([]Entry{entry})
 			}
--- a/internal/catalog/era_test.go
+++ b/internal/catalog/era_test.go
@@ -15,13 +15,14 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// inEra returns the entry in an era.
+// withEra returns the entry with the era.
 func (e Entry) withEra(era uint64) Entry {
 	e.Era = era
 	return e
 }
 
-// viewInEra knows back ends a and b at revisions 100 and 101 of the first era, since long.
+// viewInEra returns a view with back ends a and b at revisions 100 and 101 of the first era,
+// which has settled.
 func viewInEra() *View {
 	view := NewView()
 	view.ObserveEra(1)
@@ -30,7 +31,8 @@
 	return view
 }
 
-// Revisions of a restored store are given out again: what is written at lower ones is news.
+// A restored store assigns revisions again, so a record of the new era is new even if its
+// revision is lower than a known one.
 func TestWritesAfterARestoreAreAdopted(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
@@ -42,8 +44,8 @@
 	is.Equal(ids(view), []string{"a", "b", "c"})
 }
 
-// A stale read, a slow answer or a peer of the era before doesn't take back what is known in
-// the new one.
+// A stale read, a late answer or a peer that still reports the previous era must not undo what
+// is known from the new one.
 func TestRecordsOfAnEndedEraAreIgnored(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
@@ -58,8 +60,8 @@
 	is.Equal(ids(view), []string{"b"})
 }
 
-// What a restored store lacks is kept until it can have been written again, and what had gone
-// isn't back for the copy's sake.
+// Until the era has settled, back ends that a restored store lacks are kept, because they may
+// write their entries again, and a removed back end isn't added again because of the backup.
 func TestRestoredListAppliesOnceTheEraHasSettled(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
@@ -73,7 +75,8 @@
 	is.Equal(ids(view), []string{"b"})
 }
 
-// A back end that has said that it leaves does so, though the copy is from before.
+// A back end that was leaving is still leaving after a restore, even if the backup is older than
+// its announcement.
 func TestLeavingSurvivesARestore(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
@@ -86,7 +89,8 @@
 	is.True(!view.BackEnds()[1].Leaving)
 }
 
-// Orders on zones that an operator gave in the lost seconds hold until they are given again.
+// Evacuations that were ordered or withdrawn in the seconds that the backup lacks stay in effect
+// until operators have written them again.
 func TestEvacuationsSurviveARestore(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
@@ -100,7 +104,8 @@
 	is.Equal(view.EvacuatedZones(), []string{"z"})
 }
 
-// A verdict that the copy lacks stands, and is to be written again.
+// The verdict on a rollout that the backup lacks stays in effect, and is marked to be written
+// again.
 func TestRolloutStateSurvivesARestore(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
@@ -114,8 +119,8 @@
 	is.Equal(view.Rollouts()[0].State, rollout.Ordered) // another order
 }
 
-// Software that knows no eras tells records without one. They are compared by their revision
-// until a store is restored, and then say nothing.
+// Software that doesn't know eras sends records without an era. They are compared by revision
+// until a restore of the store is observed, and are ignored afterwards.
 func TestRecordsWithoutAnEra(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
@@ -129,7 +134,7 @@
 	is.Equal(len(view.OfferEntries([]Entry{entry("d", 900), entry("b", 901)})), 0)
 }
 
-// A list that tells no era doesn't remove what is known of one.
+// A list without an era doesn't remove objects that are known from an era.
 func TestListWithoutAnEraRemovesNothing(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
@@ -137,7 +142,8 @@
 	is.Equal(ids(view), []string{"a", "b"})
 }
 
-// A new era alone is no change: a fleet would tell each other all that it knows.
+// Records that differ only in their era are no changes; otherwise all gateways of a fleet would
+// send each other all of their records after a restore.
 func TestNewEraAloneIsNotAnnounced(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
@@ -147,14 +153,14 @@
 	is.Equal(view.Changes(), before)
 }
 
-// modelStore is a store that is written, restored, and written again, with all that it ever
-// answered.
+// modelStore models a store that is written, restored, and written again. It keeps all answers
+// that it ever gave.
 type modelStore struct {
 	era, revision uint64
 	entries       map[string]Entry
 	snapshots     []modelSnapshot
 	events        []Entry
-	// truth is what the back ends would write.
+	// truth is the state that the back ends want to be in the store.
 	truth map[string]BackEnd
 }
 
@@ -187,7 +193,7 @@
 	m.snapshots = append(m.snapshots, modelSnapshot{at: Position{Era: m.era, Revision: m.revision}, entries: slices.Collect(maps.Values(m.entries))})
 }
 
-// restore begins a new era with an earlier copy.
+// restore begins a new era from an earlier snapshot.
 func (m *modelStore) restore(snapshot modelSnapshot) {
 	m.era++
 	m.revision = snapshot.at.Revision
@@ -198,7 +204,7 @@
 	m.takeSnapshot()
 }
 
-// rewrite lets everybody write theirs again.
+// rewrite makes all back ends write their entries again.
 func (m *modelStore) rewrite() {
 	for id, backEnd := range m.truth {
 		if known, exists := m.entries[id]; !exists || known.BackEnd != backEnd {
@@ -212,8 +218,8 @@
 	}
 }
 
-// Whatever is read, watched and told in whatever order, over any number of eras: once what a
-// restored store lacked was written again, all views hold what the store does.
+// Views read, watch and gossip in any order, over any number of eras. Once the back ends have
+// written to the restored store again, all views must agree with it.
 func TestViewsAgreeWithARestoredStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &modelStore{era: 1, entries: map[string]Entry{}, truth: map[string]BackEnd{}}
@@ -270,7 +276,7 @@
 	})
 }
 
-// A version of the configuration is never taken back, whatever the copy holds.
+// A view keeps its version of the configuration when the backup has an older one.
 func TestConfigurationSurvivesARestore(t *testing.T) {
 	is := is.New(t)
 	view := viewInEra()
--- a/internal/catalog/evacuation.go
+++ b/internal/catalog/evacuation.go
@@ -1,13 +1,13 @@
 package catalog
 
-// Evacuation is an operator's order that the back ends of a zone get nothing new, as it
-// is known at a revision of the platform's store.
+// Evacuation is an operator's order that the back ends of a zone get no new requests, as of a
+// position in the history of the platform's store.
 type Evacuation struct {
 	// Zone is the zone that is evacuated.
 	Zone string `cbor:"1,keyasint"`
-	// Withdrawn is true once the order was taken back.
+	// Withdrawn is true once the order has been withdrawn.
 	Withdrawn bool `cbor:"2,keyasint,omitempty"`
-	// Revision and Era are the position, which orders what is known of the same zone.
+	// Revision and Era are the position, which orders the records of a zone.
 	Revision uint64 `cbor:"3,keyasint"`
 	Era      uint64 `cbor:"4,keyasint,omitempty"`
 }
@@ -29,19 +29,19 @@
 
 func (Evacuation) needsNoUpdate(Evacuation) bool { return false }
 
-// OfferEvacuations takes changes from a watch or a peer and returns those that were
-// news.
+// OfferEvacuations merges changes from a watch or a peer, and returns those that were new.
 func (v *View) OfferEvacuations(evacuations []Evacuation) []Evacuation {
 	return v.evacuations.offer(evacuations)
 }
 
-// OfferEvacuationList takes the complete list that was read at the position. An order
-// that it lacks was withdrawn, unless it was heard of at a later one.
+// OfferEvacuationList merges the complete list of orders at the position, and returns the
+// changes. An order that isn't in the list has been withdrawn, unless its record has a later
+// position.
 func (v *View) OfferEvacuationList(evacuations []Evacuation, at Position) []Evacuation {
 	return v.evacuations.offerList(evacuations, at)
 }
 
-// EvacuatedZones returns the zones under an order, in alphabetical order.
+// EvacuatedZones returns the evacuated zones in alphabetical order.
 func (v *View) EvacuatedZones() []string {
 	var zones []string
 	for _, each := range v.evacuations.present() {
@@ -50,8 +50,8 @@
 	return zones
 }
 
-// EvacuationsSince returns the orders that changed after the given number of changes,
-// withdrawn ones included, and the number to go on from.
+// EvacuationsSince returns the orders that have changed since the cursor, including withdrawn
+// ones, and the next cursor.
 func (v *View) EvacuationsSince(change uint64) ([]Evacuation, uint64) {
 	return v.evacuations.since(change)
 }
--- a/internal/catalog/evacuation_test.go
+++ b/internal/catalog/evacuation_test.go
@@ -21,7 +21,7 @@
 	view.OfferEvacuations([]Evacuation{{Zone: "a", Revision: 5}})                                                     // a peer that lags
 	view.OfferEvacuationList([]Evacuation{{Zone: "a", Revision: 5}, {Zone: "b", Revision: 3}}, Position{Revision: 5}) // another stale read
 	is.Equal(view.EvacuatedZones(), []string{"b"})
-	view.OfferEvacuations([]Evacuation{{Zone: "a", Revision: 9}}) // ordered anew
+	view.OfferEvacuations([]Evacuation{{Zone: "a", Revision: 9}}) // ordered again
 	view.OfferEvacuationList([]Evacuation{{Zone: "a", Revision: 9}}, Position{Revision: 11})
 	is.Equal(view.EvacuatedZones(), []string{"a"})
 }
@@ -36,7 +36,8 @@
 	is.Equal(changes, []Evacuation{{Zone: "a", Withdrawn: true, Revision: 2}})
 }
 
-// Whatever the order in which gateways hear of orders, they end with the same.
+// Gateways that receive the same evacuation orders in different sequences end with the same
+// evacuated zones.
 func TestEvacuationsConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var changes []Evacuation
--- a/internal/catalog/index.go
+++ b/internal/catalog/index.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Index is a configuration prepared for look-ups. It is never changed.
+// Index is an immutable configuration with maps for lookups.
 type Index struct {
 	configuration *Configuration
 	routes        map[string]map[string]*Route
@@ -14,7 +14,7 @@
 	services      map[string]*Service
 }
 
-// NewIndex prepares a checked configuration, which must not change afterwards.
+// NewIndex returns an index of a checked configuration, which must not change afterwards.
 func NewIndex(configuration *Configuration) *Index {
 	index := &Index{
 		configuration: configuration,
@@ -46,15 +46,15 @@
 	x.routes[host][route.Prefix] = route
 }
 
-// Configuration returns the indexed document, to be read only.
+// Configuration returns the indexed configuration. The caller must not modify it.
 func (x *Index) Configuration() *Configuration { return x.configuration }
 
-// Version returns the document's version.
+// Version returns the version of the configuration.
 func (x *Index) Version() uint64 { return x.configuration.Version }
 
-// Route returns the route with the longest prefix for the host and path, or nil.
-// The look-up walks the path's own prefixes, so its cost doesn't depend on the
-// number of routes.
+// Route returns the route with the longest matching prefix for the host and path, or nil. It
+// looks up the prefixes of the path, longest first, so its cost doesn't depend on the number of
+// routes.
 func (x *Index) Route(host, path string) *Route {
 	byPrefix := x.routes[hostName(host)]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// hostName returns the host without its port in lower case.
+// hostName returns the host in lower case and without its port.
 func hostName(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -73,7 +73,7 @@
 	return strings.ToLower(host)
 }
 
-// Tenant returns the owner of a key, or nil.
+// Tenant returns the tenant that owns the key, or nil.
 func (x *Index) Tenant(key string) *Tenant {
 	if key == "" {
 		return nil
@@ -81,8 +81,8 @@
 	return x.keys[key]
 }
 
-// Service returns a service; one that the document doesn't describe is returned
-// as a plain service.
+// Service returns the service with the name. For a service that the configuration doesn't
+// describe, it returns one with default values.
 func (x *Index) Service(name string) Service {
 	if service := x.services[name]; service != nil {
 		return *service
@@ -90,8 +90,8 @@
 	return Service{Name: name}
 }
 
-// Target picks one of the route's services by its weight. The same seed gives the
-// same service on every gateway.
+// Target selects one of the route's services by weight. The same seed selects the same service
+// on every gateway.
 func (r *Route) Target(seed string) string {
 	total := 0
 	for _, target := range r.Targets {
--- a/internal/catalog/position.go
+++ b/internal/catalog/position.go
@@ -2,39 +2,40 @@
 
 import "cmp"
 
-// Position is a place in the history of the platform's store. A store that comes back from a
-// copy begins a new era: its revisions go back and are given out again, so two revisions can
-// be compared within one era alone.
+// Position is a point in the history of the platform's store. A store that is restored from a
+// backup begins a new era: its revisions go back and are assigned again, so revisions can only
+// be compared within one era.
 type Position struct {
-	// Era counts the histories of the store; 0 where it isn't told.
+	// Era is the number of the era; 0 if unknown.
 	Era uint64
-	// Revision counts the changes of an era.
+	// Revision is the revision within the era.
 	Revision uint64
 }
 
-// Compare orders positions by era first.
+// Compare compares positions by era, and by revision within an era.
 func (p Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(p.Era, other.Era), cmp.Compare(p.Revision, other.Revision))
 }
 
-// epoch is what is known of the store's eras. A restored store lacks what was written to it in
-// its last seconds. The operators and the back ends write theirs again, so for a while it is
-// neither believed that something is gone which it lacks, nor that something is back which
-// had gone.
+// eraState is what a view knows of the store's eras. A restored store lacks what was written in
+// the last seconds before the restore. Operators and back ends write their objects again. Until
+// they have, an object that is missing in the store doesn't count as removed, and a removed
+// object that is in the store again doesn't count as added.
 type eraState struct {
-	// era is the highest heard of.
+	// era is the highest era observed.
 	era uint64
-	// restored is set once it was heard that an era ended. From then on, a record without an
-	// era counts as older than all others; before, it comes from software that knows no eras.
+	// restored is set once the end of an era has been observed. From then on, a record without
+	// an era counts as older than all others. Before that, it may come from software that doesn't
+	// know eras, and is compared by revision.
 	restored bool
-	// ignored is set where eras are passed over, to show that checks notice.
+	// ignored is set in tests which verify that the checks detect a view that ignores eras.
 	ignored bool
-	// settled is set once what the store lacked at the beginning of the era was written again,
-	// or is gone.
+	// settled is set once everything that the store lacked at the beginning of the era has been
+	// written again or no longer exists.
 	settled bool
 }
 
-// hear takes an era that was told, and tells whether it is a new one.
+// observe processes an era reported by the store or a peer, and reports whether it is new.
 func (e *eraState) observe(era uint64) (isNew bool) {
 	if era <= e.era || e.ignored {
 		return false
@@ -44,7 +45,7 @@
 	return true
 }
 
-// isOutdated tells whether a position is of an era that has ended.
+// isOutdated reports whether a position belongs to an era that has ended.
 func (e *eraState) isOutdated(position Position) bool {
 	return !e.ignored && position.Era < e.era && (position.Era > 0 || e.restored)
 }
--- a/internal/catalog/ledger.go
+++ b/internal/catalog/recordset.go
@@ -5,55 +5,56 @@
 	"slices"
 )
 
-// record is what is known of one named object of the platform's store at a revision.
+// record is the state of one named object of the platform's store at a position.
 type record[R any] interface {
 	comparable
-	// key is the object's name, and position that of what is said of it.
+	// key returns the object's name, and position the position of the record.
 	key() string
 	position() Position
-	// removed is true when the object is no longer there.
+	// removed reports whether the object no longer exists.
 	removed() bool
-	// removedAt returns what is said of the same object once it is gone.
+	// asRemoved returns the record of the object's removal at the position.
 	asRemoved(position Position) R
-	// at returns the same said of another position.
+	// withPosition returns the same record with another position.
 	withPosition(position Position) R
-	// carrying returns what a record of a new era says, with what is known since an older one
-	// and can't have been taken back.
+	// carryOver returns this record of a new era, extended by what is known from an older era
+	// and can't have been revoked since.
 	carryOver(known R) R
-	// goesWithoutSaying tells whether who knows the other, older record will find out by
-	// itself what this one says.
+	// needsNoUpdate reports whether a gateway that has the older record known arrives at the
+	// content of this one without an update.
 	needsNoUpdate(known R) bool
 }
 
 const (
-	// mostAnnounced is how many new objects an offer may bring for each of them to be
-	// numbered as a change, whatever is known already; announcedPart is the part of those
-	// known, as one in so many, that it may bring. A change crosses every connection
-	// between gateways, 18 to 74 of each in a fleet of hundreds, at 80 bytes. More are asked
-	// for, of one peer: that costs processor time on both sides, which a gateway whose
-	// neighbours all ask it again with each few new back ends doesn't have.
+	// New objects of one offer are numbered as changes if there are at most alwaysAnnounced of
+	// them, or at most one for every announcedDivisor records that are already known. Each
+	// change is sent over every connection between gateways, of which a gateway has 18 to 74 in
+	// a fleet of hundreds, and takes 80 bytes. Larger numbers of new objects are requested from
+	// one peer instead. Such requests cost processor time on both sides, and a gateway whose
+	// neighbours all sent one for every few new back ends would be overloaded.
 	alwaysAnnounced  = 8
 	announcedDivisor = 4
 )
 
-// maxTombstones bounds the memory for objects that are gone.
+// maxTombstones limits the number of records of removed objects that are kept.
 const maxTombstones = 4096
 
-// ledger holds the newest record of each object of one kind. Whatever the order in which
-// records arrive, it ends with the newest: one is replaced only by that of a later position.
-// So neither a stale read nor a peer that lags can take it back.
+// recordSet holds the newest record of each object of one kind. A record is replaced only by one
+// of a later position, so the set converges to the newest records in whatever order they arrive,
+// and neither a stale read nor a lagging peer can undo a change.
 type recordSet[R record[R]] struct {
 	records map[string]R
-	// epoch is that of the view.
+	// eras is shared by all record sets of a view.
 	eras *eraState
-	// changes numbers the changes of records, for readers that follow them.
+	// changes counts the changes of records, and changeOf has the number of the last change of
+	// each record. Readers use the numbers as cursors.
 	changes  uint64
 	changeOf map[string]uint64
-	// mostAnnounced is how many new objects of one offer are always numbered, and
-	// unannounced counts those that weren't.
+	// alwaysAnnounced is the number of new objects in one offer that are always numbered as
+	// changes. unannounced counts the new objects that weren't.
 	alwaysAnnounced int
 	unannounced     uint64
-	// order is the keys of removed objects in the order of their removal.
+	// removalOrder holds the keys of removed objects in the order of their removal.
 	removalOrder []string
 }
 
@@ -61,10 +62,11 @@
 	return recordSet[R]{records: map[string]R{}, eras: eras, changeOf: map[string]uint64{}, alwaysAnnounced: alwaysAnnounced}
 }
 
-// version is another number whenever other objects are there than before.
+// version returns a number that changes whenever an object is added, or changes in a way that
+// needs an update.
 func (s *recordSet[R]) version() uint64 { return s.changes + s.unannounced }
 
-// offer takes changes from a watch or a peer and returns those that were news.
+// offer merges changes from a watch or a peer, and returns those that were new.
 func (s *recordSet[R]) offer(records []R) []R {
 	var changed []R
 	announced := s.shouldAnnounce(records)
@@ -77,8 +79,9 @@
 	return changed
 }
 
-// offerList takes a complete list that was read at the position. An object that it lacks is
-// gone, unless it was heard of at a later one. A list of an era that has ended says nothing.
+// offerList merges the complete list of objects at the position, and returns the changes. An
+// object that isn't in the list has been removed, unless its record has a later position, or is of
+// an earlier era and the current one hasn't settled. A list of an era that has ended is ignored.
 func (s *recordSet[R]) offerList(records []R, at Position) []R {
 	if s.eras.isOutdated(at) {
 		return nil
@@ -101,8 +104,8 @@
 	return changed
 }
 
-// tellsRemoval tells whether a list of the position that lacks the record says that it is
-// gone.
+// impliesRemoval reports whether a known object has been removed if a list at the position
+// doesn't contain it.
 func (s *recordSet[R]) impliesRemoval(known R, at Position) bool {
 	position := known.position()
 	switch {
@@ -115,8 +118,8 @@
 	}
 }
 
-// areAnnounced tells whether those of the records whose objects are new are few enough to
-// be numbered as changes.
+// shouldAnnounce reports whether the new objects among the records are few enough to be numbered
+// as changes.
 func (s *recordSet[R]) shouldAnnounce(records []R) bool {
 	added := 0
 	for _, each := range records {
@@ -127,8 +130,8 @@
 	return added <= max(s.alwaysAnnounced, len(s.records)/announcedDivisor)
 }
 
-// offerOne applies one record. A new object is numbered as a change only if it is
-// announced; what changes about a known one always is.
+// offerOne merges one record and reports whether it was new. A new object is numbered as a change
+// only if announced is set. A change of a known object is always numbered if it needs an update.
 func (s *recordSet[R]) offerOne(offered R, announced bool) bool {
 	key := offered.key()
 	known, exists := s.records[key]
@@ -141,8 +144,8 @@
 	if offered.removed() && exists {
 		offered = known.asRemoved(offered.position())
 	}
-	// The position is kept even where nothing else changed: a record between the two
-	// may still arrive, and must not count as newer.
+	// The position is stored even if nothing else has changed: a record from between the two
+	// positions may still arrive, and must not count as newer.
 	s.records[key] = offered
 	if !exists && !announced {
 		s.unannounced++
@@ -156,8 +159,9 @@
 	return !exists || offered.withPosition(Position{}) != known.withPosition(Position{})
 }
 
-// goesWithoutSaying tells whether a change needn't be told: with a new era every record
-// changes its position, and whole fleets would tell each other all that they know.
+// needsNoUpdate reports whether peers need no update about a change. A new era changes the
+// position of every record; if that counted, all gateways of a fleet would send each other all of
+// their records.
 func (s *recordSet[R]) needsNoUpdate(offered, known R) bool {
 	if offered.position().Era != known.position().Era && offered.withPosition(known.position()) == known {
 		return true
@@ -165,23 +169,24 @@
 	return offered.needsNoUpdate(known)
 }
 
-// mayBeNew tells whether an object that isn't known may be there by the record. Once an era has
-// settled, what was said in an older one and is lacking in it is gone.
+// mayAdd reports whether a record of an unknown object may be added. Once an era has settled, an
+// object that is known only from an older era no longer exists.
 func (s *recordSet[R]) mayAdd(offered R) bool {
 	return !s.eras.isOutdated(offered.position()) || !s.eras.settled && offered.position().Era > 0
 }
 
-// supersedes orders records of one object. At equal positions a removal wins: the store
-// names the removal of an object by its last revision. Records without an era come from
-// software that knows none, and are compared by their revision while the era that this one
-// knows is its first.
+// supersedes reports whether the offered record of an object replaces the known one. At equal
+// positions a removal wins, because the store reports a removal with the last revision of the
+// object. Records without an era come from software that doesn't know eras. They are compared by
+// revision as long as no restore of the store has been observed.
 func (s *recordSet[R]) supersedes(offered, known R) bool {
 	offeredAt, knownAt := offered.position(), known.position()
 	if s.eras.ignored || !s.eras.restored && (offeredAt.Era == 0 || knownAt.Era == 0) {
 		offeredAt.Era, knownAt.Era = 0, 0
 	}
 	if offeredAt.Era > knownAt.Era && known.removed() && !offered.removed() && !s.eras.settled {
-		// The copy may be from before the removal. The store will tell whether it is so.
+		// The store's backup may be older than the removal. Once the era has settled, the store
+		// shows whether the object exists.
 		return false
 	}
 	if order := offeredAt.Compare(knownAt); order != 0 {
@@ -191,7 +196,7 @@
 	return offered.removed() && !known.removed() || isLaterEra && offered.removed() == known.removed()
 }
 
-// forget drops the oldest tombstones.
+// pruneTombstones drops the oldest records of removed objects.
 func (s *recordSet[R]) pruneTombstones() {
 	for len(s.removalOrder) > maxTombstones {
 		key := s.removalOrder[0]
@@ -212,7 +217,7 @@
 	return keys
 }
 
-// present returns the records of objects that are there, by key.
+// present returns the records of existing objects, sorted by key.
 func (s *recordSet[R]) present() []R {
 	var list []R
 	for _, key := range s.keys() {
@@ -223,8 +228,8 @@
 	return list
 }
 
-// since returns the records that changed after the given number of changes, in the
-// order of their change, and the number to go on from.
+// since returns the records that have changed since the cursor, in the order of their last
+// change, and the next cursor.
 func (s *recordSet[R]) since(change uint64) ([]R, uint64) {
 	var keys []string
 	for key, at := range s.changeOf {
--- a/internal/catalog/ledger_test.go
+++ b/internal/catalog/recordset_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// A list that is read at the start isn't among the changes, which cross every connection;
-// it shows by the digest and by Unannounced.
+// The entries of a list that is read at the start aren't numbered as changes, because each change
+// is sent over every connection. They show in the digest and in Unannounced.
 func TestManyNewBackEndsAreNotAnnounced(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
@@ -20,7 +20,8 @@
 	is.True(view.Digest().Differing(empty) != 0)
 }
 
-// A few new ones are, and so is whatever changes about known ones, in any number.
+// A few new back ends are numbered as changes. Changes of known back ends always are, in any
+// number.
 func TestChangesAreAnnounced(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
@@ -40,7 +41,7 @@
 	is.Equal(len(changes), 3000)
 }
 
-// Operators' orders have no digest: all of them are changes.
+// Evacuations aren't covered by a digest, so all of them are numbered as changes.
 func TestAllEvacuationsAreAnnounced(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
--- a/internal/catalog/unreadable.go
+++ b/internal/catalog/unreadable.go
@@ -1,13 +1,13 @@
 package catalog
 
-// Unreadable is an object of the platform's store that can't be used as it is.
+// Unreadable is an object of the platform's store that can't be used.
 type Unreadable struct {
-	// Kind and Name are the object's, as far as they can be read.
+	// Kind and Name identify the object, as far as they can be read.
 	Kind ObjectKind
 	Name string
-	// At is the position of what can't be read; its revision is 0 where it can't either.
+	// At is the object's position. The revision is 0 if it can't be read.
 	At Position
-	// Reason tells what is wrong.
+	// Reason is the object's fault.
 	Reason Fault
 }
 
@@ -23,19 +23,19 @@
 	KindWithheld      ObjectKind = "withheld"
 )
 
-// Fault is what is wrong with an object.
+// Fault is the reason why an object can't be used.
 type Fault string
 
-// The closed list of faults.
+// All faults.
 const (
-	// NotAnObject has no fields, or no metadata that names it.
+	// NotAnObject means that it has no fields, or no metadata with its name.
 	NotAnObject Fault = "not_an_object"
-	// WrongType has a field of another type.
+	// WrongType means that a field has the wrong type.
 	WrongType Fault = "wrong_type"
-	// MissingField lacks a field, or has an empty one.
+	// MissingField means that a required field is missing or empty.
 	MissingField Fault = "missing_field"
-	// OutOfRange has a number, or an address, that can't be one.
+	// OutOfRange means that a number is out of range or an address is invalid.
 	OutOfRange Fault = "out_of_range"
-	// UnknownState tells a state that isn't known.
+	// UnknownState means that its state isn't a known one.
 	UnknownState Fault = "unknown_state"
 )
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -5,59 +5,60 @@
 	"time"
 )
 
-// Incarnation is one life of a back end. A back end may start again under its ID, and then
-// holds and knows nothing of before.
+// Incarnation identifies one run of a back end. A back end may restart under the same ID, and
+// then has none of the state of its earlier run.
 type Incarnation struct {
-	// ID is the back end's.
+	// ID is the back end's ID.
 	ID string
-	// Born is when this life began, in milliseconds since 1970 by the back end's clock, which
-	// may step back: it tells lives apart and doesn't order them. 0 where it isn't told.
+	// Born is the start time in milliseconds since 1970 by the back end's clock; 0 if unknown.
+	// The clock may step back, so start times distinguish incarnations but don't order them.
 	Born int64
 }
 
-// IsSame tells whether both are the same life, as far as is known: software that doesn't tell
-// its start yet may stand beside software that does.
+// Matches reports whether both may be the same incarnation. An unknown start time matches any,
+// because software that doesn't report the start time may run next to software that does.
 func (i Incarnation) Matches(other Incarnation) bool {
 	return i.ID == other.ID && (i.Born == other.Born || i.Born == 0 || other.Born == 0)
 }
 
-// BackEnd is one incarnation of a back end. A restart makes a new one.
+// BackEnd describes one incarnation of a back end. A restart begins a new incarnation.
 type BackEnd struct {
-	// ID is that of the back end.
+	// ID is the back end's ID.
 	ID string `cbor:"1,keyasint"`
 	// Service is the pool that it belongs to.
 	Service string `cbor:"2,keyasint"`
-	// Address is its IP address and port. Later it may be another back end's.
+	// Address is its IP address and port. Another back end may get the same address later.
 	Address string `cbor:"3,keyasint"`
-	// Zone is where it runs.
+	// Zone is the zone in which it runs.
 	Zone string `cbor:"4,keyasint"`
-	// Slots is how many requests it works on at once; 0 when unknown.
+	// Slots is the number of requests that it processes concurrently; 0 if unknown.
 	Slots int `cbor:"5,keyasint,omitempty"`
-	// Leaving back ends take no new work.
+	// Leaving is true once it takes no new requests.
 	Leaving bool `cbor:"6,keyasint,omitempty"`
-	// WarmUp is how much longer it bore few requests a second when the entry was
-	// written; 0 for one that is warm.
+	// WarmUp is the remaining time of its warm-up when the entry was written; 0 if it is warm.
+	// During the warm-up it can serve only few requests per second.
 	WarmUp time.Duration `cbor:"7,keyasint,omitempty"`
-	// Born is when this life of it began, in milliseconds since 1970 by its own clock; 0 where
-	// it isn't told. A back end may start again under its ID.
+	// Born is the start time of this incarnation in milliseconds since 1970 by the back end's
+	// clock; 0 if unknown. A back end may restart under the same ID.
 	Born int64 `cbor:"8,keyasint,omitempty"`
-	// Version is that of its software; "" where it isn't told.
+	// Version is the version of its software; "" if unknown.
 	Version string `cbor:"9,keyasint,omitempty"`
-	// WarmUpAt is the position of the entry which told WarmUp, none for one that is warm: a
-	// warm-up that begins anew may tell the same time. The View sets it.
+	// WarmUpAt is the position of the entry that stated WarmUp, or zero for a warm back end. It
+	// distinguishes a warm-up that begins again from an earlier one with the same time left. The
+	// View sets it.
 	WarmUpAt Position `cbor:"-"`
 }
 
-// Incarnation returns which life of the back end this is.
+// Incarnation returns the identity of this incarnation.
 func (b BackEnd) Incarnation() Incarnation { return Incarnation{ID: b.ID, Born: b.Born} }
 
-// Entry is what is known of a back end at a revision of the platform's store.
+// Entry is the record of a back end as of a position in the history of the platform's store.
 type Entry struct {
-	// BackEnd is the back end. Of one that is gone only the ID counts.
+	// BackEnd is the back end. If it is gone, only the ID is significant.
 	BackEnd BackEnd `cbor:"1,keyasint"`
-	// Gone is true when it is no longer listed.
+	// Gone is true once the back end is no longer listed.
 	Gone bool `cbor:"2,keyasint,omitempty"`
-	// Revision and Era are its position, which orders entries of the same back end.
+	// Revision and Era are the position, which orders the entries of a back end.
 	Revision uint64 `cbor:"3,keyasint"`
 	Era      uint64 `cbor:"4,keyasint,omitempty"`
 }
@@ -75,8 +76,8 @@
 	return e
 }
 
-// carrying keeps that a back end leaves: within a life it doesn't come back, and the copy may
-// be from before it said so.
+// carryOver keeps the information that a back end is leaving. An incarnation that is leaving
+// never returns to service, and the store's backup may be older than its announcement to leave.
 func (e Entry) carryOver(known Entry) Entry {
 	if !e.Gone && e.BackEnd.Incarnation().Matches(known.BackEnd.Incarnation()) {
 		e.BackEnd.Leaving = e.BackEnd.Leaving || known.BackEnd.Leaving
@@ -84,8 +85,8 @@
 	return e
 }
 
-// goesWithoutSaying is true for the countdown of a warm-up: a back end that starts writes a
-// new entry with each heartbeat until it is warm, and each would cross every connection
+// needsNoUpdate is true for the countdown of a warm-up. A back end that has started writes a new
+// entry with each heartbeat until it is warm, and each would be sent over every connection
 // between gateways.
 func (e Entry) needsNoUpdate(known Entry) bool {
 	if e.BackEnd.WarmUp >= known.BackEnd.WarmUp {
@@ -95,7 +96,7 @@
 	return e.withPosition(Position{}) == known.withPosition(Position{})
 }
 
-// dated returns the entries with the position of their warm-ups.
+// withWarmUpPositions returns the entries with WarmUpAt set.
 func withWarmUpPositions(entries []Entry) []Entry {
 	list := make([]Entry, len(entries))
 	for i, each := range entries {
@@ -107,17 +108,17 @@
 	return list
 }
 
-// View is a gateway's knowledge. Whatever the order in which news arrives, it
-// ends with the newest: a configuration is replaced only by a higher version, an
-// entry or an order only by one of a later position. So neither a stale read nor a peer
-// that lags can take it back. It is not safe for concurrent use.
+// View is a gateway's view of the fleet. A configuration is replaced only by one of a higher
+// version, and an entry or an order only by one of a later position. So the view converges to the
+// newest state in whatever order updates arrive, and neither a stale read nor a lagging peer can
+// undo a change. It is not safe for concurrent use.
 type View struct {
 	eras        *eraState
 	index       *Index
 	entries     recordSet[Entry]
 	evacuations recordSet[Evacuation]
 	rollouts    recordSet[Rollout]
-	// digest is that of the entries when they were at the version digestOf.
+	// digest is the digest of the entries at the version digestVersion.
 	digest        Digest
 	digestVersion uint64
 }
@@ -131,28 +132,29 @@
 	}
 }
 
-// Era returns the highest era of the store that was heard of; 0 for none.
+// Era returns the highest era of the store that has been observed; 0 for none.
 func (v *View) Era() uint64 { return v.eras.era }
 
-// HearEra takes an era that the store or a peer told, and tells whether it is a new one.
-// Records from before are then kept though the store may lack them, until SettleEra.
+// ObserveEra processes an era reported by the store or a peer, and reports whether it is new. If
+// so, records of earlier eras are kept until SettleEra, even if the store lacks them.
 func (v *View) ObserveEra(era uint64) (isNew bool) { return v.eras.observe(era) }
 
-// IgnoreEras orders records by their revision alone; only checks of checks need it.
+// IgnoreEras makes the view order records by revision only. It is for tests which verify that the
+// checks detect this.
 func (v *View) IgnoreEras() { v.eras.ignored = true }
 
-// SettleEra notes that what a restored store lacked has been written to it again, or is gone:
-// the next list says so.
+// SettleEra records that everything that the restored store lacked has been written again or no
+// longer exists. From then on, objects that are missing in a list count as removed.
 func (v *View) SettleEra(era uint64) {
 	if era == v.eras.era {
 		v.eras.settled = true
 	}
 }
 
-// Index returns the configuration in force, or nil before the first.
+// Index returns the index of the current configuration, or nil if there is none yet.
 func (v *View) Index() *Index { return v.index }
 
-// Version returns the version in force, or 0.
+// Version returns the version of the current configuration, or 0.
 func (v *View) Version() uint64 {
 	if v.index == nil {
 		return 0
@@ -160,8 +162,8 @@
 	return v.index.Version()
 }
 
-// OfferConfiguration adopts a checked document if its version is newer, and
-// tells whether it did.
+// OfferConfiguration adopts a checked configuration if its version is newer, and reports whether
+// it did.
 func (v *View) OfferConfiguration(configuration *Configuration) bool {
 	if configuration.Version <= v.Version() {
 		return false
@@ -170,19 +172,18 @@
 	return true
 }
 
-// OfferEntries takes changes from a watch or a peer and returns those that were
-// news.
+// OfferEntries merges changes from a watch or a peer, and returns those that were new.
 func (v *View) OfferEntries(entries []Entry) []Entry {
 	return v.entries.offer(withWarmUpPositions(entries))
 }
 
-// OfferList takes a complete list that was read at the position. A back end that
-// it lacks is gone, unless it was heard of at a later one.
+// OfferList merges the complete list of back ends at the position, and returns the changes. A
+// back end that isn't in the list is gone, unless its entry has a later position.
 func (v *View) OfferList(entries []Entry, at Position) []Entry {
 	return v.entries.offerList(withWarmUpPositions(entries), at)
 }
 
-// BackEnds returns those in service, leaving ones included, by ID.
+// BackEnds returns the back ends in service, including leaving ones, sorted by ID.
 func (v *View) BackEnds() []BackEnd {
 	var list []BackEnd
 	for _, entry := range v.entries.present() {
@@ -191,13 +192,13 @@
 	return list
 }
 
-// Changes returns the number of changes so far.
+// Changes returns the number of changes so far, which is the current cursor for Since.
 func (v *View) Changes() uint64 { return v.entries.changes }
 
-// Unannounced returns how many back ends came in such numbers at once that they aren't
-// among the changes: who follows these compares digests whenever it grows.
+// Unannounced returns the number of back ends that were added in groups too large to be numbered
+// as changes. Readers that follow the changes must compare digests whenever it grows.
 func (v *View) Unannounced() uint64 { return v.entries.unannounced }
 
-// Since returns the entries that changed after the given number of changes, in
-// the order of their change, and the number to go on from.
+// Since returns the entries that have changed since the cursor, in the order of their last
+// change, and the next cursor.
 func (v *View) Since(change uint64) ([]Entry, uint64) { return v.entries.since(change) }
--- a/internal/catalog/view_test.go
+++ b/internal/catalog/view_test.go
@@ -42,7 +42,7 @@
 	view.OfferList([]Entry{entry("b", 2)}, Position{Revision: 12})
 	is.Equal(ids(view), []string{"b"}) // a newer list removes c
 	view.OfferEntries([]Entry{entry("c", 13)})
-	is.Equal(ids(view), []string{"b", "c"}) // listed anew after it had been gone
+	is.Equal(ids(view), []string{"b", "c"}) // listed again after its removal
 }
 
 func TestRemovalWinsAtTheSameRevision(t *testing.T) {
@@ -51,7 +51,7 @@
 	view.OfferEntries([]Entry{entry("a", 4)})
 	view.OfferEntries([]Entry{{BackEnd: BackEnd{ID: "a"}, Gone: true, Revision: 4}})
 	is.Equal(len(ids(view)), 0)
-	is.Equal(len(view.OfferEntries([]Entry{entry("a", 4)})), 0) // a peer's older word
+	is.Equal(len(view.OfferEntries([]Entry{entry("a", 4)})), 0) // an outdated update of a peer
 }
 
 func TestSinceReturnsChanges(t *testing.T) {
@@ -66,8 +66,8 @@
 	is.True(entries[0].Gone)
 }
 
-// Two views that were offered the same news in different orders agree: this is
-// what lets peers relay entries without any agreement.
+// Two views that receive the same entries in different orders agree. This allows peers to relay
+// entries without coordination.
 func TestViewsConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		revision := uint64(0)
@@ -139,8 +139,8 @@
 	is.True((&Configuration{}).Check() != nil)
 }
 
-// Peers aren't told how a warm-up goes on, since each knows when it ends; that it begins
-// anew, they are.
+// Peers get no updates about the countdown of a warm-up, because they know when it ends. They do
+// get an update if it begins again.
 func TestWarmUpCountdownIsNotAnnounced(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
@@ -157,17 +157,17 @@
 	}
 	is.Equal(announcedAfter(cold(3*time.Second, 1)), 1)
 	is.Equal(announcedAfter(cold(1800*time.Millisecond, 2)), 0)
-	is.Equal(view.BackEnds()[0].WarmUp, 1800*time.Millisecond) // known here
+	is.Equal(view.BackEnds()[0].WarmUp, 1800*time.Millisecond) // known to the view itself
 	is.Equal(announcedAfter(cold(0, 3)), 0)
 	is.Equal(announcedAfter(cold(2*time.Second, 4)), 1)
-	is.Equal(announcedAfter(cold(2*time.Second, 5)), 1) // listed anew: the revision protects it
+	is.Equal(announcedAfter(cold(2*time.Second, 5)), 1) // written again with the same time left
 	leaving := cold(0, 6)
 	leaving[0].BackEnd.Leaving = true
 	is.Equal(announcedAfter(leaving), 1)
 }
 
-// A gateway that wasn't told how a warm-up went on hears that it begins anew, with the same
-// time left.
+// A warm-up that begins again with the same time left is a change for a view that has seen no
+// countdown in between.
 func TestRestartedWarmUpIsAChange(t *testing.T) {
 	is := is.New(t)
 	view := NewView()
--- a/internal/follower/call.go
+++ b/internal/follower/call.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	// callTimeout bounds a plain call. A list isn't bounded as a whole: where hundreds of
-	// gateways start together and read thousands of entries, the store's own link takes
-	// seconds, and giving up would begin all of it anew.
+	// callTimeout limits a plain call, such as the read of one page of a list. The read of a
+	// whole list has no time limit: if hundreds of gateways start together and read thousands of
+	// entries, the transfers over the store's link take seconds, and a read that gave up would
+	// have to start over.
 	callTimeout = 1200 * time.Millisecond
-	// maxAnswerBytes bounds an answer of the store.
+	// maxAnswerBytes limits the body of an answer. The rest of a longer one is not read.
 	maxAnswerBytes = 16 << 20
 )
 
@@ -27,7 +28,7 @@
 	Body   []byte
 }
 
-// Call makes a call over HTTP, with a body in JSON unless it is nil.
+// Call sends an HTTP request to the store, with the body encoded as JSON unless it is nil.
 func Call(ctx context.Context, client *http.Client, method, url string, body any) (Answer, error) {
 	var content io.Reader
 	if body != nil {
@@ -56,7 +57,7 @@
 	return Answer{Status: response.StatusCode, Header: response.Header, Body: raw}, nil
 }
 
-// callOnce makes a call that ends within callTimeout.
+// callWithTimeout makes a call with a context that ends after callTimeout.
 func callWithTimeout[T any](ctx context.Context, call func(ctx context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/follower/eras.go
+++ b/internal/follower/eras.go
@@ -7,17 +7,17 @@
 	"github.com/harriernotch/harriernotch/internal/gateway"
 )
 
-// A store that comes back from a copy lacks what was written in its last seconds, and gives
-// revisions out again. Each gateway hears of the new era by an answer of the store or from a
-// peer. Those that read for the others read all lists anew, at once and once operators and back
-// ends have written theirs again; the others learn the differences from them, so the calls
-// don't grow with the fleet.
+// A store that is restored from a backup lacks what was written in the last seconds before, and
+// assigns revisions again. Each gateway learns of the new era from an answer of the store or from
+// a peer. Readers read all lists again, first at once and then after operators and back ends have
+// had time to write their objects again. The other gateways get the differences from them, so the
+// number of calls doesn't grow with the fleet.
 
-// rewriteTime is how long after the store's return operators and back ends need to write theirs
-// again: back ends do with the second of their heartbeats at the latest.
+// rewriteTime is the time after a restore within which operators and back ends write their
+// objects again. Back ends do so with their second heartbeat at the latest.
 const rewriteTime = 2300 * time.Millisecond
 
-// followEras begins anew with each era of the store but the first that it hears of.
+// followEras resynchronizes with the store in each new era, except the first that it observes.
 func (f *Follower) followEras(ctx context.Context, lists []list) {
 	handled := uint64(0)
 	for ctx.Err() == nil {
@@ -37,14 +37,15 @@
 		}
 		f.config.State.SettleEra(era)
 		if isRestored {
-			// Those that watch read the lists again, which now say what is gone.
+			// The watch loops read the lists again, which now show what has been removed.
 			f.resync(lists)
 			f.tasks.Go(func() { f.rewriteAsReader(ctx) })
 		}
 	}
 }
 
-// sleepUntil waits for the time, and tells whether the channel was closed before.
+// sleepUnlessClosed waits until the time is over, the channel is closed or the context ends. It
+// reports whether the channel was closed.
 func sleepUnlessClosed(ctx context.Context, closed <-chan struct{}, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -57,15 +58,15 @@
 	return false
 }
 
-// rewriteAsReader writes what the restored store lacks of the gateways' own, if this gateway is
-// one of those that read it.
+// rewriteAsReader writes the gateways' own records that the restored store lacks, if this gateway
+// is a reader.
 func (f *Follower) rewriteAsReader(ctx context.Context) {
 	if f.isReader() {
 		f.retryCall(ctx, f.rewriteWithheld)
 	}
 }
 
-// beginAnew drops how far the lists are known, and the watches that go on from there.
+// resync drops the progress of the lists and restarts the watches, which were based on it.
 func (f *Follower) resync(lists []list) {
 	for _, each := range lists {
 		each.progress.reset()
@@ -74,7 +75,7 @@
 }
 
 // rewriteWithheld writes the records of withheld requests that the restored store lacks. Several
-// gateways may: a record that is there already stays as it is.
+// gateways may do so, because the store doesn't change a record that it already has.
 func (f *Follower) rewriteWithheld(ctx context.Context) error {
 	sleep(ctx, time.Duration(f.config.State.Place().Rank)*rewriteStagger)
 	known := f.config.State.WithheldRecords()
@@ -93,5 +94,6 @@
 	return nil
 }
 
-// rewriteStep is the time between the gateways that may write, so that the first one does.
+// rewriteStagger is the delay between readers of successive ranks, so that as a rule only the
+// first one has records to write.
 const rewriteStagger = 300 * time.Millisecond
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -1,6 +1,6 @@
-// Package follower keeps a gateway's view of the platform's store fresh: it
-// reads, watches, and reads again after a while. A watch alone isn't trusted: it
-// may hear nothing for seconds while changes are made.
+// Package follower keeps a gateway's view of the platform's store up to date, with watches and
+// with periodic plain reads. Watches alone aren't reliable: a watch may receive nothing for
+// seconds while there are changes.
 package follower
 
 import (
@@ -19,68 +19,68 @@
 )
 
 const (
-	// watchTime is how long a watch waits for a change; watchGrace is how much
-	// longer its answer may take. A longer watch costs fewer calls, and one whose
-	// connection has gone silent goes unnoticed for longer: plain reads tell meanwhile.
+	// watchWait is the time that the store holds a watch without changes, and watchGrace is the
+	// additional time within which the answer must arrive. A longer watch costs fewer calls, but
+	// a watch on a silent connection then goes unnoticed for longer. Until then, plain reads find
+	// the changes.
 	watchWait  = 20 * time.Second
 	watchGrace = 2 * time.Second
-	// settleTime is how long after its start a gateway doesn't watch: by then it
-	// knows its peers, and whether it is one of those that do. Until then its plain
-	// reads follow the store.
+	// watchDelay is the time after its start during which a gateway doesn't watch, but relies on
+	// plain reads. After it the gateway knows its peers, and whether it is a reader.
 	watchDelay = 700 * time.Millisecond
-	// manyGateways is the number of gateways above which a gateway that has just started
-	// needs moreSettleTime to hear of those that watch: else nine of 23 that start together
-	// read all lists and watch, where four are enough.
+	// largeFleet is the number of gateways above which a gateway that has just started waits for
+	// largeFleetWatchDelay in addition, to learn which gateways are readers. Without it, nine of
+	// 23 gateways that start together read all lists and watch, although four are enough.
 	largeFleet           = 10
 	largeFleetWatchDelay = 800 * time.Millisecond
-	// watchableAge is how old a position may be for a watch to begin there. Stores keep some
+	// maxPositionAge is the age up to which a watch may start from a position. Stores keep some
 	// tens of seconds of history.
 	maxPositionAge = 10 * time.Second
-	// regainLook is the time between two looks of a watch at whether plain reads are
-	// answered again.
+	// pollInterval is the interval at which loops that depend on plain reads check whether the
+	// store has answered them.
 	pollInterval = 50 * time.Millisecond
-	// firstPause and longestPause bound the wait after a failed call.
+	// minBackoff and maxBackoff limit the wait after a failed call.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
-	// triesPerSecond is how often all gateways that stand by together call a store that
-	// doesn't answer them. More of them find sooner one that answers some gateways alone;
-	// at one a second for each of 23 gateways, an outage of 8 s cost a third of a day's
-	// calls.
+	// triesPerSecond is the rate at which all standby gateways together call a store that doesn't
+	// answer them. A higher rate finds a store that answers only some gateways sooner, but with
+	// one call per second of each of 23 gateways, an outage of 8 s cost a third of the calls of a
+	// day.
 	triesPerSecond = 8
-	// sharedReads is the number of readers that share the reads: each reads that
-	// many times less often.
+	// sharingReaders is the number of readers that share the plain reads. Each of them reads
+	// that many times less often.
 	sharingReaders = 3
-	// stretchPerGateways and longestStretch bound the time between two reads of a
-	// gateway that isn't a reader: one read period for so many gateways.
+	// The period of plain reads of a gateway that isn't a reader is one ReadPeriod for every
+	// gatewaysPerPeriod gateways, and at most maxReadPeriod.
 	gatewaysPerPeriod = 2
 	maxReadPeriod     = time.Minute
-	// gatherPart is the part of a read period, as one in so many, for which the watch of
-	// the first reader waits for further changes after one: each answer is a call, and
-	// back ends come and go in series. The first change of a series is told at once. The
-	// watch of each further reader waits twice as long: it only makes up for the one
-	// before, and by then has heard of the changes from it.
+	// The first reader waits for ReadPeriod/batchDivisor after a change before it watches again,
+	// and so receives the changes of that time as a batch: each answer costs a call, and back
+	// ends come and go in series. The first change of a series is received at once. Each further
+	// reader waits twice as long as the one before. It is a fallback for that one, and usually
+	// has learned of the changes from it by then.
 	batchDivisor = 6
-	// readsPerPeriod is how many plain reads a gateway makes in a period, however many
-	// lists there are: others take one that the store doesn't answer for lost by the age
-	// of its last answer.
+	// readsPerPeriod is the number of plain reads that a gateway makes in a period, regardless of
+	// the number of lists: other gateways judge by the age of its last answer whether the store
+	// still answers it.
 	readsPerPeriod = 2
-	// entriesPerPeriod is the length of a list of back ends for which a gateway
-	// reads once a period; a list twice as long is read half as often.
+	// entriesPerPeriod is the length of the list of back ends at which it is read once per
+	// period. A list twice as long is read half as often.
 	entriesPerPeriod = 100
 )
 
-// Follower follows one store.
+// Follower follows the platform's store.
 type Follower struct {
 	config    Config
 	tasks     conc.WaitGroup
 	cancel    context.CancelFunc
 	watches   *watches
 	storeLost atomic.Bool
-	// entries is the length of the list of back ends that was read last.
+	// entryCount is the length of the list of back ends at its last read.
 	entryCount atomic.Int64
 }
 
-// Start begins to follow.
+// Start starts a follower.
 func Start(config Config) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Follower{config: config, cancel: cancel, watches: newWatches(ctx)}
@@ -100,7 +100,7 @@
 		f.tasks.Go(func() { f.recordRollouts(ctx, orders) })
 	}
 	f.tasks.Go(func() { f.syncWithheld(ctx) })
-	lists = append(lists, f.backEnds()) // the longest one last: a gateway that starts reads them in turn
+	lists = append(lists, f.backEnds()) // the longest list is last in turn
 	f.tasks.Go(func() { f.followEras(ctx, lists) })
 	f.tasks.Go(func() { f.readLoop(ctx, lists...) })
 	for _, each := range lists {
@@ -109,20 +109,20 @@
 	return f
 }
 
-// Close ends all calls and waits for them.
+// Close cancels all calls and waits until they have ended.
 func (f *Follower) Close() {
 	f.cancel()
 	f.tasks.Wait()
 	f.watches.close()
 }
 
-// readLoop reads the lists in turn, whatever the watches say, so that each answer
-// also shows that the store can be reached. A gateway that has just started reads
-// all together: callers wait for it. One that got no answer in time reads all without a
-// pause as soon as the store answers again: the list whose turn was lost may hold an order.
+// readLoop reads the lists in turn, independently of the watches, so that each answer also shows
+// that the store can be reached. A gateway that has just started reads all lists concurrently,
+// because callers wait for it. After a timeout, it reads all lists without a pause as soon as the
+// store answers again: the list whose turn was missed may have an order.
 func (f *Follower) readLoop(ctx context.Context, lists ...list) {
 	backoff := minBackoff
-	immediateReads := 0 // so many are read without a pause
+	immediateReads := 0 // the number of reads to make without a pause
 	if f.config.PeersFirst {
 		f.awaitPeers(ctx)
 	}
@@ -161,15 +161,16 @@
 }
 
 const (
-	// peersTime is how long a gateway of a fleet that starts for the first time waits for its
-	// peers to tell it all, before it reads the store itself. Nobody calls it before that. In a
-	// fleet of 357 it saves one call of a gateway, 348 of the 2,207 of a quiet day.
+	// peersWait is the time that a gateway with PeersFirst waits for updates from its peers
+	// before it reads the store itself. It is used when a fleet starts for the first time, when
+	// there are no callers yet. In a fleet of 357 gateways it saves one call per gateway, 348 of
+	// the 2,207 calls of a quiet day.
 	peersWait = 2 * time.Second
-	// peersLook is the time between two looks at whether they have.
+	// peersPollInterval is the interval at which it checks whether they have arrived.
 	peersPollInterval = 50 * time.Millisecond
 )
 
-// awaitPeers waits until this gateway knows enough to serve, or has waited for long enough.
+// awaitPeers waits until this gateway knows enough to serve, but for at most about peersWait.
 func (f *Follower) awaitPeers(ctx context.Context) {
 	began := f.config.State.Clock().Now()
 	wait := jitter(peersWait)
@@ -178,7 +179,7 @@
 	}
 }
 
-// readTogether reads all lists at the same time, and tells whether all were answered.
+// readConcurrently reads all lists at the same time, and reports whether all reads succeeded.
 func (f *Follower) readConcurrently(ctx context.Context, lists []list) bool {
 	var failed atomic.Bool
 	var reads conc.WaitGroup
@@ -193,11 +194,11 @@
 	return !failed.Load()
 }
 
-// turnPause is the time to the next plain read.
+// readInterval returns the time until the next plain read.
 func (f *Follower) readInterval() time.Duration { return jitterEarly(f.readPeriod() / readsPerPeriod) }
 
-// rest waits, or until this gateway's duty changes. One that is to stand by then waits for
-// its turn among those that do.
+// pauseReads waits until the time is over or this gateway's duty changes. If the gateway becomes a
+// standby gateway, it then waits for a random time, to spread its calls among the others'.
 func (f *Follower) pauseReads(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -211,8 +212,8 @@
 	}
 }
 
-// leastPause is the shortest wait after a failed call. Gateways that stand by share
-// triesPerSecond, unless callers wait for them.
+// minRetryWait returns the shortest wait after a failed call. Standby gateways share
+// triesPerSecond, unless they aren't ready and callers may wait for them.
 func (f *Follower) minRetryWait() time.Duration {
 	place := f.config.State.Place()
 	if place.Duty != gateway.Standby || !f.config.State.Ready() {
@@ -221,14 +222,14 @@
 	return max(maxBackoff, time.Duration(place.Gateways)*time.Second/triesPerSecond)
 }
 
-// mustBeFresh tells whether this gateway's plain reads are what others rely on, or
-// its first. A gateway that others read for learns of changes from its peers; its own
-// reads are for when it loses them, and may be cheap.
+// needsFreshReads reports whether this gateway's plain reads must not be stale, because other
+// gateways rely on them or because it isn't ready yet. A learner gets changes from its peers. Its
+// own reads are a fallback in case it loses contact with them, and may be cheap.
 func (f *Follower) needsFreshReads() bool {
 	return f.config.State.Place().Duty != gateway.Learner || !f.config.State.Ready()
 }
 
-// read reads a list and notes whether the store answered.
+// read reads a list, and records whether the store answered.
 func (f *Follower) read(ctx context.Context, from list, stale bool) (catalog.Position, error) {
 	position, err := from.read(ctx, stale)
 	f.recordResult(ctx, from.name, err)
@@ -238,10 +239,9 @@
 	return position, err
 }
 
-// readPeriod is the time in which readsPerPeriod plain reads are made. Readers share the
-// work: what one of them reads, the others hear at once. A gateway that isn't a reader
-// stretches it with the size of the fleet, so that all together make about as many calls as
-// a few.
+// readPeriod returns the time in which readsPerPeriod plain reads are made. Readers share the
+// work, because each immediately sends the others what it has read. For other gateways the period
+// grows with the fleet, so that all of them together make about as many calls as a few.
 func (f *Follower) readPeriod() time.Duration {
 	place := f.config.State.Place()
 	period := f.config.ReadPeriod * time.Duration(place.Gateways) / gatewaysPerPeriod
@@ -251,15 +251,15 @@
 	return min(period, maxReadPeriod)
 }
 
-// longPeriod is the least time between two plain reads of the list of back ends: its watch
-// carries the changes, and a read costs in proportion to its length.
+// longListPeriod returns the shortest time between two plain reads of the list of back ends. Its
+// watch delivers the changes, and the cost of a read is in proportion to its length.
 func (f *Follower) longListPeriod() time.Duration {
 	return min(f.readPeriod()*time.Duration(f.entryCount.Load()/entriesPerPeriod), maxReadPeriod)
 }
 
-// watchLoop watches from the position that the list is known up to, and reads it where
-// that is too long ago or the store has dropped its history since. While the store answers
-// no plain read, it makes no calls: those would fail as well, each at its price.
+// watchLoop watches a list from the position up to which it is known. If that position is too old,
+// or the store has dropped the history since, it reads the list first. While plain reads of the
+// store fail, it makes no calls, because they would fail as well and each has a cost.
 func (f *Follower) watchLoop(ctx context.Context, followed list) {
 	backoff := minBackoff
 	sleep(ctx, watchDelay)
@@ -291,7 +291,8 @@
 	}
 }
 
-// watchOnce waits for the next changes of the list, and then for those that follow on them.
+// watchOnce waits for the next change of the list. After a change it pauses, so that the next watch
+// receives the following changes as a batch.
 func (f *Follower) watchOnce(ctx context.Context, followed list) error {
 	from, ok := followed.progress.watchStart()
 	if !ok {
@@ -311,7 +312,7 @@
 	return nil
 }
 
-// awaitDuty waits until this gateway's duty changes.
+// awaitDuty waits until this gateway's duty changes, unless it is a reader already.
 func (f *Follower) awaitDuty(ctx context.Context) {
 	changed := f.config.State.DutyChanged()
 	if f.isReader() {
@@ -325,7 +326,8 @@
 
 func (f *Follower) isReader() bool { return f.config.State.Place().Duty == gateway.Reader }
 
-// note logs when the store is lost or regained.
+// recordResult records the result of a read of the list named what. It logs when contact with the
+// store is lost or regained.
 func (f *Follower) recordResult(ctx context.Context, what string, err error) {
 	if ctx.Err() != nil {
 		return
@@ -345,9 +347,9 @@
 	}
 }
 
-// giveUpKept closes the kept connections after a call that got no answer in time: all may
-// have fallen silent without a reset, and each would cost a further call its time. Those
-// that watches wait on are given up once a new one works.
+// closeIdleConnections closes the idle connections after a call that timed out. All connections
+// may have fallen silent without a reset, and each would make a further call time out. The
+// connections on which watches wait are closed once a new connection works.
 func (f *Follower) closeIdleConnections(cause error) {
 	if !errors.Is(cause, context.DeadlineExceeded) {
 		return
@@ -358,13 +360,14 @@
 	}
 }
 
-// readPause spreads plain reads without ever making one later than is due: others take a
-// reader for lost when its last answer is older than a read and a message take.
+// jitterEarly returns a random time of at most due, to spread plain reads. A read must never be
+// late: other gateways consider a reader lost if its last answer from the store is older than a
+// read and a message take.
 func jitterEarly(due time.Duration) time.Duration {
 	return due*4/5 + time.Duration(rand.Int64N(int64(due)/5+1))
 }
 
-// jitter spreads calls of many gateways.
+// jitter returns a random time around wait, to spread the calls of many gateways.
 func jitter(wait time.Duration) time.Duration {
 	return wait*3/4 + time.Duration(rand.Int64N(int64(wait)/2+1))
 }
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -16,8 +16,7 @@
 	"github.com/harriernotch/harriernotch/internal/gateway"
 )
 
-// follow runs a follower of the source for a while in a fleet of so many
-// gateways.
+// follow runs test with a follower of the source in a fleet with the given number of gateways.
 func follow(t *testing.T, s *source, gateways int, reader bool, test func(state *gateway.State)) {
 	bubble.Test(t, func(t *testing.T) {
 		log := eventlog.New(io.Discard, logrus.InfoLevel, nil)
@@ -30,7 +29,7 @@
 	})
 }
 
-// placeOf returns that of the first reader, or of a gateway that learns from others.
+// placeOf returns the place of the first reader or, if reader is false, of a learner.
 func placeOf(gateways int, reader bool) gateway.Place {
 	place := gateway.Place{Gateways: gateways}
 	if reader {
@@ -47,14 +46,14 @@
 		return s.reads.Load()
 	}
 	alone := count(20, 1, true)
-	is.True(alone > 600)                    // 800 ms each, and some for the watch
-	is.True(count(20, 4, true) < alone*2/5) // three share the reads
+	is.True(alone > 600)                    // one per 800 ms, and some for the watch
+	is.True(count(20, 4, true) < alone*2/5) // three readers share the reads
 	is.True(count(20, 340, false) <= 30)
 	is.True(count(3000, 300, true) < alone/8)
 }
 
-// Two plain reads a period show others that the store answers; a third list takes its turn
-// among them.
+// Two plain reads per period show other gateways that the store answers. A third list takes its
+// turn among these reads.
 func TestThirdListAddsNoReads(t *testing.T) {
 	is := is.New(t)
 	count := func(evacuations bool) (all, third int64) {
@@ -65,11 +64,11 @@
 	}
 	two, _ := count(false)
 	three, third := count(true)
-	is.True(float64(three) < 1.1*float64(two)) // the watch on it reads now and then
+	is.True(float64(three) < 1.1*float64(two)) // its watch reads occasionally
 	is.True(third > three/4)
 }
 
-// A list of thousands of back ends is read seldom, and doesn't keep the others waiting.
+// A list of thousands of back ends is read rarely, and doesn't delay reads of the other lists.
 func TestLongListDoesNotDelayTheOthers(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3000}
@@ -78,8 +77,8 @@
 	is.True(s.reads.Load() < 60)
 }
 
-// A gateway that learns from its peers reads what may be old, once it is ready; a
-// reader does so once, for the list of back ends at its start.
+// A learner makes stale reads once it is ready. A reader makes a single one: the first read of the
+// list of back ends.
 func TestLearnersReadStaleAndReadersFresh(t *testing.T) {
 	is := is.New(t)
 	count := func(reader bool) (stale, all int64) {
@@ -95,14 +94,15 @@
 	is.True(stale > 10)
 }
 
-// Back ends that are replaced one after another end a watch each; what follows the first
-// change is gathered, so that calls don't grow with the changes.
+// Back ends that are replaced one after another cause a series of changes, and each answer to a
+// watch costs a call. The changes that follow the first one are received in batches, so the number
+// of calls doesn't grow with the number of changes.
 func TestWatchBatchesChanges(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3, changePeriod: 10 * time.Millisecond}
 	follow(t, s, 4, true, func(*gateway.State) { time.Sleep(10 * time.Second) })
 	is.True(s.watches.Load() < 80) // 1,000 changes
-	is.True(s.watches.Load() > 50) // told of within 150 ms all the same
+	is.True(s.watches.Load() > 50) // changes are still received within 150 ms
 }
 
 func TestOnlyReadersWatch(t *testing.T) {
@@ -112,8 +112,8 @@
 	is.Equal(s.watches.Load(), int64(0))
 }
 
-// Callers wait for a gateway that has just started: it reads both lists at once, and
-// begins to watch only when it knows its place in the fleet.
+// Callers wait for a gateway that has just started, so it reads both lists at once. It starts to
+// watch only when it knows its place in the fleet.
 func TestStartedGatewayReadsAtOnceAndWatchesLater(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
@@ -138,11 +138,11 @@
 		time.Sleep(2 * time.Second)
 		is.True(state.Ready())
 	})
-	is.True(s.reads.Load() < 60*4) // a store that is away isn't hammered
+	is.True(s.reads.Load() < 60*4) // backoff limits the calls to an unavailable store
 }
 
-// While the store is away each list has its turn, and once it answers all of them are read
-// without a pause: any of them may have missed something.
+// While the store is unavailable, the lists are still tried in turn. Once it answers, all of them
+// are read without a pause, because changes of any list may have been missed.
 func TestAllListsAreReadOnceTheStoreAnswersAgain(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
@@ -159,8 +159,8 @@
 	})
 }
 
-// In a fleet of many, a gateway that has just started doesn't watch before it can have
-// heard of those that do.
+// In a large fleet, a gateway that has just started doesn't watch before it has had time to learn
+// which gateways do.
 func TestStartedGatewayInALargeFleetWatchesLater(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
@@ -172,7 +172,7 @@
 	})
 }
 
-// Others take a reader for lost by the age of its last answer: a read isn't later than due.
+// Other gateways judge a reader by the age of its last answer, so a read must never be late.
 func TestReadIntervalIsNeverExceeded(t *testing.T) {
 	is := is.New(t)
 	for range 1000 {
@@ -181,15 +181,15 @@
 	}
 }
 
-// Connections fall silent together: once one plain read got no answer in time and the next
-// one did, on a new connection, the watches that wait on old ones begin anew.
+// All connections fall silent together. Once a plain read has timed out and the next one has been
+// answered on a new connection, the watches that wait on old connections are restarted.
 func TestWatchesOnSilentConnectionsAreRestarted(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
 	s.silent.Store(true)
 	follow(t, s, 3, true, func(*gateway.State) {
 		time.Sleep(4 * time.Second)
-		is.Equal(s.watches.Load(), int64(1)) // it waits for its 22 s
+		is.Equal(s.watches.Load(), int64(1)) // it would wait for 22 s
 		s.unanswered.Store(1)
 		s.silent.Store(false)
 		time.Sleep(3 * time.Second)
@@ -197,7 +197,8 @@
 	})
 }
 
-// A store that answers nobody in time, or slowly, isn't one whose connections are dead.
+// If a store answers no plain read, its connections needn't be dead, so the watches aren't
+// restarted.
 func TestWatchesContinueWhileNoReadIsAnswered(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
@@ -210,8 +211,8 @@
 	})
 }
 
-// A watch goes on where the last read or watch ended, so that one that is cut costs no
-// further read.
+// A watch starts at the position of the last read or watch, so that a watch that is cut off costs
+// no further read.
 func TestWatchResumesAtTheLastPosition(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3, changePeriod: 100 * time.Millisecond}
@@ -223,18 +224,18 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		is.True(s.watches.Load() > watches+10)
-		is.True(s.reads.Load()-reads <= 3) // those that are due anyway
+		is.True(s.reads.Load()-reads <= 3) // the periodic plain reads
 	})
 }
 
-// While the store answers nobody, plain reads alone look for it.
+// While the store is unavailable, only plain reads call it.
 func TestWatchesMakeNoCallsWhileTheStoreIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
 	follow(t, s, 3, true, func(*gateway.State) {
 		time.Sleep(2 * time.Second)
 		s.failing.Store(true)
-		time.Sleep(30 * time.Second) // the watch of the moment has ended
+		time.Sleep(30 * time.Second) // the current watch has ended by then
 		watches, reads := s.watches.Load(), s.reads.Load()+s.configurationReads.Load()
 		time.Sleep(time.Minute)
 		is.Equal(s.watches.Load(), watches)
@@ -245,8 +246,8 @@
 	})
 }
 
-// Gateways that stand by share a few calls a second while the store answers nobody, and one
-// that learned until then begins within that time.
+// While the store is unavailable, all standby gateways together make only a few calls per second.
+// A learner that becomes a standby gateway makes its first call in time.
 func TestStandbyGatewaysShareTheirCalls(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
@@ -259,11 +260,11 @@
 		is.True(s.reads.Load()+s.configurationReads.Load() > before)
 		time.Sleep(55 * time.Second)
 		calls := s.reads.Load() + s.configurationReads.Load() - before
-		is.True(calls >= 9 && calls <= 17) // 40 gateways, 8 a second: one each 5 s
+		is.True(calls >= 9 && calls <= 17) // 40 gateways at 8 calls a second: one call each per 5 s
 	})
 }
 
-// A gateway that is to read begins at once.
+// A gateway that becomes a reader starts to watch at once.
 func TestNewReaderWatchesAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
@@ -275,8 +276,8 @@
 	})
 }
 
-// Each further reader gathers for longer what follows on a change: together they make less
-// than twice the calls of the first.
+// Each further reader batches changes for longer than the one before, so all readers together make
+// less than twice the watch calls of the first.
 func TestLaterReadersBatchLonger(t *testing.T) {
 	is := is.New(t)
 	count := func(rank int) int64 {
--- a/internal/follower/list.go
+++ b/internal/follower/list.go
@@ -10,22 +10,23 @@
 	"github.com/harriernotch/harriernotch/internal/gateway"
 )
 
-// list is one of the store's lists that are followed.
+// list is a list of the store that is followed.
 type list struct {
 	name string
-	// reached is how far it is known.
+	// progress is the position up to which the list is known.
 	progress *listProgress
-	// firstMayBeOld lets a gateway that has just started read what may be old.
+	// firstMayBeStale permits a stale first read after the start of the gateway.
 	firstMayBeStale bool
-	// isLong is set for the list that is read less often the longer it is.
+	// isLong is set for a list that is read less often the longer it is.
 	isLong bool
-	// read makes a plain call and returns the position that it saw.
+	// read reads the list and returns its position.
 	read func(ctx context.Context, stale bool) (catalog.Position, error)
-	// watch waits for changes after a position and returns the one to go on from.
+	// watch waits for changes after a position and returns the position to continue from.
 	watch func(ctx context.Context, after catalog.Position) (catalog.Position, error)
 }
 
-// reached is the position in the store's history up to which all changes of a list are known.
+// listProgress is the position in the store's history up to which all changes of a list are known,
+// and the time at which that was last confirmed.
 type listProgress struct {
 	state *gateway.State
 
@@ -36,8 +37,8 @@
 
 func (f *Follower) newProgress() *listProgress { return &listProgress{state: f.config.State} }
 
-// note takes the position that a fresh read or a watch has come to. An answer of an era that
-// has ended may come late, and says nothing of this one's changes.
+// advance records the position of a fresh read or a watch. A late answer of an era that has ended
+// is ignored, because it doesn't cover the changes of the current era.
 func (r *listProgress) advance(position catalog.Position) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -46,23 +47,24 @@
 	}
 }
 
-// forget drops the position, whose history the store has dropped.
+// reset drops the position, because no watch can continue from it.
 func (r *listProgress) reset() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.position, r.at = catalog.Position{}, time.Time{}
 }
 
-// watchable returns the position if a watch may begin there: the store drops its history
-// after a while, and a watch from before would cost a call for nothing.
+// watchStart returns the position if a watch may start there. The store drops old history, and a
+// watch from a position in it would be a wasted call.
 func (r *listProgress) watchStart() (position catalog.Position, ok bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.position, !r.at.IsZero() && r.state.Clock().Since(r.at) < maxPositionAge
 }
 
-// configurations is the list with the operators' document. Its version orders it, whatever the
-// era: a store that was restored may hold an older one until the operators write theirs again.
+// configurations returns the list with the operators' configuration. Configurations are ordered by
+// version, regardless of the era: a restored store may have an older one until the operators write
+// theirs again.
 func (f *Follower) configurations() list {
 	adopt := func(all []*catalog.Configuration) {
 		for _, each := range slices.Backward(all) {
@@ -76,10 +78,12 @@
 		func(all []*catalog.Configuration, _ catalog.Position) { adopt(all) }, adopt)
 }
 
-// listOf returns a list of which the state takes whole lists and changes.
+// listOf returns a list of the objects. takeList merges a complete list into the state, and
+// takeChanges merges changes.
 func listOf[T any](
 	name string,
-	progress *listProgress, objects Objects[T],
+	progress *listProgress,
+	objects Objects[T],
 	takeList func(all []T, at catalog.Position),
 	takeChanges func(changes []T),
 ) list {
@@ -107,10 +111,10 @@
 	}
 }
 
-// backEnds is the list of back ends. It is many calls long, and a fleet that restarts reads
-// it all at once: the first read may be old. An entry that is seconds old is safe, since
-// every send names the incarnation that it is meant for, and peers and the next read tell
-// what is newer. What callers may do and which zones are evacuated is read fresh.
+// backEnds returns the list of back ends. Reading it takes many calls, and all gateways of a fleet
+// that restarts read it at the same time, so the first read may be stale. An entry that is seconds
+// old is safe: every request that is sent names the incarnation that it is meant for, and peers and
+// the next read deliver newer entries. The configuration and the evacuated zones are read fresh.
 func (f *Follower) backEnds() list {
 	state := f.config.State
 	followed := listOf("back_ends", f.newProgress(), f.config.Source.BackEnds(),
@@ -124,7 +128,7 @@
 	return followed
 }
 
-// evacuations is the list of orders on zones.
+// evacuations returns the list of evacuation orders.
 func (f *Follower) evacuations() list {
 	state := f.config.State
 	return listOf("evacuations", f.newProgress(), f.config.Source.Evacuations(),
@@ -135,7 +139,7 @@
 	)
 }
 
-// rollouts is the list of orders to move services to other versions.
+// rollouts returns the list of orders to move services to other versions.
 func (f *Follower) rollouts() list {
 	state := f.config.State
 	return listOf("rollouts", f.newProgress(), f.config.Source.Rollouts(),
--- a/internal/follower/page.go
+++ b/internal/follower/page.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// pageTries is how often a page after the first is asked for before its list is given
-	// up: a list of sixty pages that began anew with each late one would never end on a
-	// loaded link. The first page shows whether the store answers at all.
+	// maxPageTries is the number of times that a page after the first is requested before the
+	// read of the list fails. On a loaded link, a read of sixty pages that started over with each
+	// late page would never end. The first page is requested once, as it shows whether the store
+	// answers at all.
 	maxPageTries = 3
-	// maxPages bounds the pages of one list.
+	// maxPages limits the number of pages of one list.
 	maxPages = 200
 )
 
@@ -22,13 +23,14 @@
 	Items []T
 	// At is the position of the page.
 	At catalog.Position
-	// Last names the last item, after which the next page begins, if there is More.
+	// Last is the name of the last item. If there is More, the next page begins after it.
 	Last string
 	More bool
 }
 
-// ReadList reads a list page by page. Its position is that of its oldest page: a later one may
-// tell of later changes. Pages of two eras make no list.
+// ReadList reads a list page by page. The position of the list is that of its oldest page, because
+// the other pages may include later changes. If the pages belong to different eras, it returns an
+// error.
 func ReadList[T any](ctx context.Context, read func(ctx context.Context, after string) (Page[T], error)) ([]T, catalog.Position, error) {
 	var list []T
 	var at catalog.Position
@@ -40,7 +42,7 @@
 			return nil, catalog.Position{}, err
 		}
 		if !isFirst && page.At.Era != at.Era {
-			return nil, catalog.Position{}, errors.New("the store began a new era while a list was read")
+			return nil, catalog.Position{}, errors.New("the store began a new era during the read of a list")
 		}
 		if isFirst || page.At.Revision < at.Revision {
 			at = page.At
@@ -51,11 +53,11 @@
 		}
 		after = page.Last
 	}
-	return nil, catalog.Position{}, errors.Errorf("a list doesn't end after %d pages", maxPages)
+	return nil, catalog.Position{}, errors.Errorf("the list has more than %d pages", maxPages)
 }
 
-// ReadPage makes the call for a page of a list, again after a failure where pages before it
-// were read, and returns the error of the last try.
+// ReadPage makes the call for a page of a list. It retries a failed call unless the page is the
+// first, and returns the error of the last try.
 func ReadPage[T any](ctx context.Context, first bool, call func(ctx context.Context) (Page[T], error)) (Page[T], error) {
 	tries := maxPageTries
 	if first {
--- a/internal/follower/parsed.go
+++ b/internal/follower/parsecache.go
@@ -6,8 +6,8 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// Parsed keeps what was read last of an object: a large one is read again and again at the
-// position that it had.
+// ParseCache caches the parsed content of the last version of an object. It is meant for large
+// objects that are read again and again without having changed.
 type ParseCache[T any] struct {
 	mutex sync.Mutex
 	value T
@@ -15,8 +15,8 @@
 	known bool
 }
 
-// At returns what is kept of the position, or what parse returns, which is kept unless it is an
-// error.
+// Get returns the cached value if it is of the position. Otherwise it calls parse and caches the
+// result unless there is an error.
 func (p *ParseCache[T]) Get(at catalog.Position, parse func() (T, error)) (T, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/follower/recall_test.go
+++ b/internal/follower/restorations_test.go
@@ -11,8 +11,8 @@
 	"github.com/harriernotch/harriernotch/internal/gateway"
 )
 
-// storeAfterARestoration is one whose history of the last 20 changes holds a zone that was
-// restored; the back ends lie there, and don't say yet that they are cold.
+// storeWithARestoration returns a store whose history of the last 20 changes has a restored zone.
+// The back ends are in this zone and don't report yet that they are cold.
 func storeWithARestoration() *source {
 	return &source{
 		backEnds: 3, evacuations: true, changePeriod: time.Hour, firstRevision: 200, oldestRevision: 180,
@@ -31,8 +31,8 @@
 	return cold
 }
 
-// Where all gateways were killed together, the store's history alone tells which zones were
-// restored a moment ago.
+// If all gateways were killed together, only the store's history shows which zones were recently
+// restored.
 func TestRestoredZonesAreReadFromTheHistory(t *testing.T) {
 	is := is.New(t)
 	s := storeWithARestoration()
@@ -44,7 +44,7 @@
 	})
 }
 
-// One gateway looks, and tells the others.
+// Only the gateway of rank 0 reads the history. The others get the result from it.
 func TestOnlyTheFirstReaderReadsTheHistory(t *testing.T) {
 	is := is.New(t)
 	s := storeWithARestoration()
--- a/internal/follower/rollouts.go
+++ b/internal/follower/rollouts.go
@@ -11,30 +11,34 @@
 	"github.com/harriernotch/harriernotch/internal/gateway"
 )
 
-// How far a roll-out has come stands in the store, and the verdict there is everybody's. Each
-// gateway finds by itself what is due; it is written under the condition that the order is as
-// it was known, so that there is one verdict whoever writes it. Nobody is elected: those that
-// read the store try in turn, and after them all others, so one that is killed before it wrote,
-// or whose answer was lost, delays the verdict by a turn.
+// The progress of a rollout is recorded in the store, and the verdict there applies to all
+// gateways. Each gateway determines independently which state is due. The state is written only if
+// the order is still at the revision that the gateway knows (compare-and-swap), so there is one
+// verdict, whichever gateway writes it. There is no leader election: readers try in the order of
+// their ranks, and all other gateways after them. So a gateway that is killed before it has
+// written, or a lost answer, delays the verdict only until the next gateway tries.
 
 const (
-	// rolloutLook is the time between two looks at roll-outs, a part of a round of tallies.
+	// rolloutInterval is the interval at which rollouts are evaluated. It is shorter than a round
+	// of tallies.
 	rolloutInterval = 100 * time.Millisecond
-	// rolloutTurn is the time between the turns of those that read, and othersTurn how long
-	// after it was due the others begin to write what is missing.
+	// readerStagger is the delay between readers of successive ranks. othersDelay is the time
+	// after which the other gateways begin to write a state that is still due.
 	readerStagger = 300 * time.Millisecond
 	othersDelay   = 2 * time.Second
-	// rolloutRetry is the time to the next try of the same gateway.
+	// rolloutRetryInterval is the time until the same gateway tries again.
 	rolloutRetryInterval = 500 * time.Millisecond
 )
 
-// dueRollout is what a gateway found to be missing in the store, and when it writes it.
+// pendingWrite is a state that is due but missing in the store, and the time at which this gateway
+// writes it.
 type pendingWrite struct {
 	record catalog.Rollout
 	at     time.Time
 }
 
-// decideRollouts looks at the roll-outs, which are those of the list, and writes what is due.
+// recordRollouts evaluates the rollouts of the list periodically, and writes the states that are
+// due.
 func (f *Follower) recordRollouts(ctx context.Context, orders list) {
 	pending := map[string]pendingWrite{}
 	for ctx.Err() == nil {
@@ -61,7 +65,7 @@
 	}
 }
 
-// rolloutDelay is the time until this gateway writes what it found due.
+// rolloutWriteDelay returns the time until this gateway writes a state that has become due.
 func (f *Follower) rolloutWriteDelay() time.Duration {
 	place := f.config.State.Place()
 	if place.Duty == gateway.Reader {
@@ -70,8 +74,8 @@
 	return othersDelay + rand.N(time.Duration(max(place.Gateways, 1))*time.Second/triesPerSecond)
 }
 
-// writeRollout writes how far an order has come. Where the store knows it otherwise by now, that
-// is read.
+// writeRollout writes the state of an order. If the order has changed in the store, it reads the
+// list instead.
 func (f *Follower) writeRollout(ctx context.Context, orders list, record catalog.Rollout) {
 	written, err := callWithTimeout(ctx, func(ctx context.Context) (catalog.Rollout, error) {
 		return f.config.Source.WriteRollout(ctx, record)
@@ -85,6 +89,6 @@
 		_, err = f.read(ctx, orders, false)
 	}
 	if err != nil && ctx.Err() == nil {
-		f.config.Log.Entry().WithError(err).Warn("the store can't be told how far a roll-out has come; trying again")
+		f.config.Log.Entry().WithError(err).Warn("writing the state of a rollout to the store failed; trying again")
 	}
 }
--- a/internal/follower/rollouts_test.go
+++ b/internal/follower/rollouts_test.go
@@ -19,12 +19,13 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// rolloutSource keeps one order, whose state is written under a condition.
+// rolloutSource is the part of a store that keeps a rollout order. It accepts a state only for the
+// current revision.
 type rolloutSource struct {
 	mutex sync.Mutex
 	order *catalog.Rollout
-	// writes are the states that were written, and loses how many further answers to writes
-	// that were done are lost.
+	// writes are the states that were written, and lostAnswers is the number of further
+	// successful writes whose answers are lost.
 	writes      []rollout.State
 	lostAnswers int
 }
@@ -62,8 +63,8 @@
 	return append([]rollout.State(nil), s.writes...)
 }
 
-// followRollouts runs followers of several gateways that read one store which holds an order
-// whose back ends never come.
+// followRollouts runs test with the followers of several readers of one store. The store holds an
+// order to move to a version whose back ends never appear.
 func followRollouts(t *testing.T, s *source, gateways int, test func(states []*gateway.State)) {
 	bubble.Test(t, func(t *testing.T) {
 		s.rollouts.order = &catalog.Rollout{Service: "s", Target: "v2", Duration: 12 * time.Second, Revision: 5, Era: s.era.Load()}
@@ -87,8 +88,8 @@
 	})
 }
 
-// An order whose back ends never come is reverted at its deadline, and each state is written
-// once, however many gateways find it due.
+// An order whose back ends never appear is reverted at its deadline. Each state is written once,
+// regardless of the number of gateways that find it due.
 func TestRolloutStateIsWrittenOnce(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
@@ -96,7 +97,8 @@
 	is.Equal(s.rollouts.written(), []rollout.State{rollout.InProgress, rollout.Reverted})
 }
 
-// A write whose answer was lost was done: the next try finds the order changed, and reads it.
+// The store has done a write whose answer is lost. The next try gets a conflict, and reads the
+// order instead of writing it again.
 func TestLostAnswerOfAWriteDoesNotWriteTwice(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
@@ -110,7 +112,7 @@
 	is.Equal(s.rollouts.written(), []rollout.State{rollout.InProgress, rollout.Reverted})
 }
 
-// A gateway that doesn't know the orders isn't ready.
+// A gateway isn't ready before it knows the rollout orders.
 func TestGatewayIsReadyOnceItKnowsTheRollouts(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
@@ -122,7 +124,7 @@
 	})
 }
 
-// A store that was restored to a copy from before a verdict is told it again.
+// If a store is restored from a backup that is older than a verdict, the verdict is written again.
 func TestRolloutStateIsWrittenAgainAfterARestore(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3, evacuations: true}
--- a/internal/follower/source_test.go
+++ b/internal/follower/source_test.go
@@ -11,49 +11,50 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// source is a store with so many back ends, which may fail.
+// source is a fake store with the given number of back ends.
 type source struct {
 	backEnds int
-	failing  atomic.Bool
-	reads    atomic.Int64
-	// configurationReads are those of the configuration, and staleReads those of
-	// both lists that may be old.
+	// failing makes the reads of configurations and back ends, and all watches, time out.
+	failing atomic.Bool
+	// reads counts the reads of the list of back ends, configurationReads those of the
+	// configuration, and staleReads the stale ones of both.
+	reads              atomic.Int64
 	configurationReads atomic.Int64
 	staleReads         atomic.Int64
 	watches            atomic.Int64
-	// evacuations is set where zones may be evacuated, and evacuationReads counts the
-	// reads of these.
+	// evacuations is set if zones may be evacuated, and evacuationReads counts the reads of
+	// their list.
 	evacuations     bool
 	evacuationReads atomic.Int64
 	// changePeriod is the time between two changes of the back ends, or 0 for none.
 	changePeriod time.Duration
-	// firstRevision is that of the start, 1 where it is 0.
+	// firstRevision is the revision at the start of a store with a changePeriod; 0 means 1.
 	firstRevision uint64
-	// deaf is set where each watch waits on a connection that has fallen silent, and
-	// unanswered is how many further plain reads get no answer in time.
+	// silent is set if watches wait on connections that have fallen silent. unanswered is the
+	// number of further reads of the configuration that time out.
 	silent     atomic.Bool
 	unanswered atomic.Int64
-	// configuration is the document, or nil for an empty one.
+	// configuration is the operators' configuration; nil stands for an empty one.
 	configuration *catalog.Configuration
-	// restored are the orders that were taken back of late, in the history of the store,
-	// which begins at the revision oldest; askedBefore counts the watches from before.
+	// restored are the withdrawn evacuations in the history of the store, which begins at
+	// oldestRevision. historyMisses counts the watches from earlier revisions.
 	restored       []catalog.Evacuation
 	oldestRevision uint64
 	historyMisses  atomic.Int64
-	// rollouts is how the store keeps orders to move services.
+	// rollouts is the part of the store that keeps a rollout order.
 	rollouts rolloutSource
-	// withheld is how the store keeps withheld requests.
+	// withheld is the part of the store that keeps withheld requests.
 	withheld withheldSource
-	// era is the store's; 0 for one that tells none.
+	// era is the era of the store; 0 for a store without eras.
 	era atomic.Uint64
-	// cuts is how many further watches on back ends are cut.
+	// cuts is the number of further watches of back ends that are cut off.
 	cuts atomic.Int64
 }
 
-// bubbleStart is the time at which the virtual clock begins.
+// bubbleStart is the start time of the virtual clock.
 var bubbleStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at is the position of the moment.
+// position returns the current position.
 func (s *source) position() catalog.Position {
 	if s.changePeriod == 0 {
 		return catalog.Position{Era: s.era.Load(), Revision: 1}
@@ -61,12 +62,12 @@
 	return catalog.Position{Era: s.era.Load(), Revision: max(1, s.firstRevision) + uint64(time.Since(bubbleStart)/s.changePeriod)}
 }
 
-// first is the position of a store that hasn't changed.
+// firstPosition returns the position of a store that has never changed.
 func (s *source) firstPosition() catalog.Position {
 	return catalog.Position{Era: s.era.Load(), Revision: 1}
 }
 
-var errUnavailable = errors.Wrap(context.DeadlineExceeded, "the store is away")
+var errUnavailable = errors.Wrap(context.DeadlineExceeded, "the store is unavailable")
 
 func (s *source) Configurations() Objects[*catalog.Configuration] {
 	return Objects[*catalog.Configuration]{List: s.listConfiguration, Watch: s.watchConfiguration}
--- a/internal/follower/start_test.go
+++ b/internal/follower/start_test.go
@@ -16,8 +16,9 @@
 	"github.com/harriernotch/harriernotch/internal/gateway"
 )
 
-// Of a fleet that starts for the first time the seeds read the store, and tell the others: one
-// that was told all makes no call of its own, and one that wasn't reads in time.
+// When a fleet starts for the first time, the seeds read the store and send updates to the other
+// gateways. A gateway that gets all updates makes no call. One that doesn't reads the store after
+// a limited time.
 func TestPeersFirstDelaysReadingTheStore(t *testing.T) {
 	is := is.New(t)
 	start := func(updated bool) (reads int64, ready bool) {
--- a/internal/follower/transports.go
+++ b/internal/follower/transports.go
@@ -5,17 +5,17 @@
 	"net/http"
 )
 
-// Transport carries calls to the store on connections that it keeps.
+// Transport sends calls to the store on a pool of connections.
 type Transport interface {
 	http.RoundTripper
-	// CloseIdleConnections closes those that carry no call.
+	// CloseIdleConnections closes the connections that carry no call.
 	CloseIdleConnections()
 }
 
-// Transports keeps the connections of watches apart from those of plain calls. A watch that
-// waits on a connection which has fallen silent is found by a plain call that gets no answer on
-// one of the same age: were watches to take the kept connections, plain calls would go on new
-// ones, and show nothing.
+// Transports keeps the connections of watches separate from those of plain calls. A watch that
+// waits on a silent connection is detected by a plain call that times out on a connection of the
+// same age. If watches occupied the pooled connections, plain calls would use new connections and
+// wouldn't detect anything.
 type Transports struct {
 	Plain   Transport
 	Watches Transport
@@ -38,7 +38,7 @@
 // watchKey marks the context of a watch.
 type watchKey struct{}
 
-// asWatch marks a call as a watch, for Transports.
+// asWatch returns a context that marks a call as a watch for Transports.
 func asWatch(ctx context.Context) context.Context {
 	return context.WithValue(ctx, watchKey{}, true)
 }
--- a/internal/follower/watches.go
+++ b/internal/follower/watches.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// watches ends the waiting watches of a follower once they may wait in vain: connections to
-// the store can fall silent for good without a reset, all of them together, while new ones
-// work. A watch alone would notice after its whole time, which is longer than any bound on
-// news.
+// watches cancels the watches of a follower when their connections may be dead: all connections to
+// the store can fall silent together, for good and without a reset, while new connections work. A
+// watch itself would detect this only at the end of its wait, which is later than any limit on the
+// delay of an update.
 //
-// The evidence is a plain call that got no answer in time and a later one that got one. A
-// store that answers nobody, or slowly, gives no such evidence, and its watches go on.
+// The evidence is a plain call that timed out, followed by one that was answered. A store that
+// answers no calls, or only slowly, gives no such evidence, and the watches continue.
 type watches struct {
 	mutex sync.Mutex
-	// term is the context of all watches of the moment, and end ends it.
+	// current is the context of all current watches, derived from parent, and cancel cancels it.
 	parent  context.Context
 	current context.Context
 	cancel  context.CancelFunc
-	// doubted is set after a call that got no answer in time.
+	// timedOut is set after a plain call that timed out, until one is answered.
 	timedOut bool
 }
 
@@ -28,14 +28,15 @@
 	return w
 }
 
-// context returns the context for a watch that begins now.
+// context returns the context for a watch that starts now.
 func (w *watches) context() context.Context {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.current
 }
 
-// renew ends the watches: they began in a history of the store that has ended.
+// restart cancels the current watches because they started in an era that has ended. Later
+// watches get a new context.
 func (w *watches) restart() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -43,14 +44,15 @@
 	w.current, w.cancel = context.WithCancel(w.parent)
 }
 
-// noAnswer notes a plain call that got no answer in time.
+// noteTimeout records a plain call that timed out.
 func (w *watches) noteTimeout() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.timedOut = true
 }
 
-// answered notes a plain call that got one, and ends the watches if an earlier one didn't.
+// noteAnswer records a plain call that was answered, and cancels the watches if an earlier one timed
+// out.
 func (w *watches) noteAnswer() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -62,7 +64,7 @@
 	w.current, w.cancel = context.WithCancel(w.parent)
 }
 
-// close ends all watches for good.
+// close cancels all watches, including later ones.
 func (w *watches) close() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/follower/withheld.go
+++ b/internal/follower/withheld.go
@@ -7,13 +7,14 @@
 	"github.com/harriernotch/harriernotch/internal/dispatch"
 )
 
-// Gateways tell each other which requests crash back ends. Where all of them are killed
-// together nobody would know, and three more back ends would have to crash for each such
-// request. So whoever saw a request become withheld writes it to the platform's store, and a
-// gateway that starts reads the list once. That is a call for each start and one for each
+// Gateways gossip which requests crash back ends. If all gateways were killed together, this
+// knowledge would be lost, and three more back ends would have to crash for each such request. So
+// the gateway that observes that a request becomes withheld writes a record to the platform's
+// store, and a gateway that starts reads the list once. This costs one call per start and one per
 // such request.
 
-// keepWithheld reads the list and then writes what this gateway observes.
+// syncWithheld reads the list of withheld requests, and then writes the changes that this gateway
+// observes.
 func (f *Follower) syncWithheld(ctx context.Context) {
 	if !f.config.FirstStart {
 		f.retryCall(ctx, f.readWithheld)
@@ -30,12 +31,12 @@
 	}
 }
 
-// longestRecordPause bounds the wait after a failed call for withheld requests: a store that
-// refuses them for good is called seldom, and nobody waits.
+// maxRecordBackoff limits the wait after a failed call of retryCall. It is long, so that a store
+// that always refuses such calls is called rarely; nothing waits for them.
 const maxRecordBackoff = 10 * time.Second
 
-// persist makes a call until the store has done it. That it fails says nothing of the store's
-// lists, whose reads tell whether the store is lost.
+// retryCall repeats a call until it succeeds. Its failures don't count as losing contact with the
+// store, which the reads of the lists detect.
 func (f *Follower) retryCall(ctx context.Context, call func(ctx context.Context) error) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -44,14 +45,15 @@
 			return
 		}
 		if backoff == minBackoff {
-			f.config.Log.Entry().WithError(err).Warn("the store can't be told, or asked, which requests are withheld; trying again")
+			f.config.Log.Entry().WithError(err).Warn("reading or writing the records of withheld requests in the store failed; trying again")
 		}
 		sleep(ctx, jitter(max(backoff, f.minRetryWait())))
 		backoff = min(2*backoff, maxRecordBackoff)
 	}
 }
 
-// readWithheld takes the list, and removes from it what is no longer withheld.
+// readWithheld merges the records in the store into the state, and removes expired records from the
+// store.
 func (f *Follower) readWithheld(ctx context.Context) error {
 	records, err := f.config.Source.Withheld(ctx)
 	if err != nil {
--- a/internal/follower/withheld_test.go
+++ b/internal/follower/withheld_test.go
@@ -22,7 +22,7 @@
 type withheldSource struct {
 	mutex   sync.Mutex
 	records map[dispatch.Fingerprint]dispatch.CrashRecord
-	// refusals is how many further calls fail, and calls counts all.
+	// refusals is the number of further calls that fail, and calls counts all calls.
 	refusals, calls int
 }
 
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// counted returns the number of calls so far.
+// callCount returns the number of calls so far.
 func (s *withheldSource) callCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -62,7 +62,7 @@
 	return s.withheld.call(func() { delete(s.withheld.records, fingerprint) })
 }
 
-// crashesOf returns a record of three crashes.
+// crashRecord returns a record of three crashes.
 func crashRecord(fingerprint dispatch.Fingerprint, at time.Time) dispatch.CrashRecord {
 	return dispatch.CrashRecord{Fingerprint: fingerprint, Incarnations: []uint32{1, 2, 3}, Evidence: []uint8{3, 3, 3}, LastAt: at.Unix()}
 }
@@ -84,8 +84,8 @@
 		time.Sleep(time.Minute)
 		f.Close()
 		is.Equal(core.Withheld(), []dispatch.Fingerprint{7})
-		is.Equal(len(s.withheld.records), 1)    // the outdated one is removed
-		is.Equal(s.withheld.callCount(), calls) // and the list isn't read again
+		is.Equal(len(s.withheld.records), 1)    // the expired record is removed
+		is.Equal(s.withheld.callCount(), calls) // the list isn't read again
 		is.Equal(s.withheld.records[7].LastAt, crashRecord(7, bubbleStart).LastAt)
 	})
 }
