--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -82,8 +82,8 @@
 	HeadTimeout time.Duration
 	// Estimate is the estimated load of the target, and Candidates the number of members of
 	// its pool.
-	Estimate   float64
-	Candidates int
+	Estimate float64
+	PoolSize int
 	// Version is the software version of the back end during a rollout of its service.
 	Version string
 }
@@ -140,7 +140,7 @@
 		HeadTimeout: c.headTimeout(x),
 		Estimate:    c.estimate(now, chosen),
 
-		Candidates: len(c.poolMembers(now, x.service)),
+		PoolSize: len(c.poolMembers(now, x.service)),
 	}
 	if c.rollouts.byService[x.service] != nil {
 		send.Version = chosen.backEnd.Version
--- a/internal/dispatch/incarnation_test.go
+++ b/internal/dispatch/incarnation_test.go
@@ -79,14 +79,14 @@
 	old.health.displaced = true
 	old.own, old.others, old.firstSeen = 4, othersLoad{requests: 9}, start.Add(-time.Hour)
 	core.SetBackEnds(start, withStartTime(list, 0, 3000))
-	now := core.members["b00"]
-	is.Equal(now.health.status(start), Healthy)
-	is.Equal(now.own, 0)
-	is.Equal(now.others, othersLoad{})
-	is.Equal(now.firstSeen, start)
+	restarted := core.members["b00"]
+	is.Equal(restarted.health.status(start), Healthy)
+	is.Equal(restarted.own, 0)
+	is.Equal(restarted.others, othersLoad{})
+	is.Equal(restarted.firstSeen, start)
 
 	core.SetBackEnds(start, backEnds(2, 6)) // an entry from a gateway that doesn't know start times
-	is.True(core.members["b00"] == now)
+	is.True(core.members["b00"] == restarted)
 }
 
 // A back end that crashed may return, cold, under its ID before its entry says so. Until then all
--- a/internal/dispatch/notice_test.go
+++ b/internal/dispatch/notice_test.go
@@ -130,6 +130,6 @@
 	parts := []Part{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 10}}
 	first := serveRequest(core, "a", parts)
 	core.members[first.Send.BackEnd.ID].health.setRetryAfter(start, time.Second)
-	_, meanwhile := core.Begin(start, request(repeatable(2), "b", parts...))
-	is.True(meanwhile.Send.FetchFrom != first.Send.BackEnd.Address)
+	_, next := core.Begin(start, request(repeatable(2), "b", parts...))
+	is.True(next.Send.FetchFrom != first.Send.BackEnd.Address)
 }
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-func admittedShare(lasting time.Duration, urgency int) float64 {
+func admittedShare(sustainedLag time.Duration, urgency int) float64 {
 	admitted := 0
 	for i := range 1000 {
-		if ShouldAdmit(lasting, urgency, fmt.Sprint("request-", i)) {
+		if ShouldAdmit(sustainedLag, urgency, fmt.Sprint("request-", i)) {
 			admitted++
 		}
 	}
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -44,7 +44,7 @@
 	fields["back_end"] = decision.send.BackEnd.ID
 	fields["address"] = decision.send.BackEnd.Address
 	fields["load_estimate"] = decision.send.Estimate
-	fields["candidates"] = decision.send.Candidates
+	fields["candidates"] = decision.send.PoolSize
 	fields["store_age_ms"] = decision.storeAge.Milliseconds()
 	if decision.send.Version != "" {
 		fields["back_end_version"] = decision.send.Version
