--- a/internal/dispatch/bound.go
+++ b/internal/dispatch/bound.go
@@ -41,10 +41,10 @@
 
 // admissionChance returns the probability with which a request may take one of the places
 // that the bound leaves at the member. The other gateways see the same free places, and each
-// gateway decides without asking the others. If there are fewer places than gateways that may
-// want one before they learn of each other's requests, each gateway takes its share of the
-// places by lottery. overflow is the number of other gateways' requests that are passed on
-// from members preferred to this one, and passedOn the number passed on from this member.
+// gateway decides without asking the others. If there are fewer places than requests that
+// compete for them before the gateways count each other's, each gateway takes its share of the
+// places by lottery. overflow is the expected number of other gateways' requests that go on to
+// this member from members preferred to it, and passedOn the number that go on from this one.
 func (c *Core) admissionChance(now time.Time, m *member, bound, overflow float64) (chance, passedOn float64) {
 	if c.config.Disabled[LoadBound] {
 		return 1, 0
@@ -72,8 +72,8 @@
 	return float64(xxhash.Sum64String(x.request.ID+m.backEnd.ID)%scale) < scale*chance
 }
 
-// expectedDemand returns how many places at the member this gateway probably needs before the
-// other gateways learn of it, and how many all other gateways need in that time.
+// expectedDemand returns how many requests this gateway probably has for the member before the
+// other gateways learn of them, and how many all other gateways have in that time.
 func (c *Core) expectedDemand(now time.Time, m *member) (own, others float64) {
 	if c.totalsAreFresh(now) {
 		interval := c.propagationTime().Seconds()
--- a/internal/dispatch/copying.go
+++ b/internal/dispatch/copying.go
@@ -4,7 +4,7 @@
 
 // A back end can copy the parts of a prompt that it lacks from another back end's cache. This
 // costs the requests running beside it about a tenth of what prefilling the parts again does.
-// Each send names one back end to copy from. A wrong guess costs nothing: the target copies
+// A send names at most one back end to copy from. A wrong guess costs nothing: the target copies
 // only what it lacks and the source still holds.
 
 const (
@@ -17,9 +17,11 @@
 	holderLearningTime = 10 * time.Second
 )
 
-// copySource returns the address of a back end from which the chosen one can copy the shared
-// parts of the prompt instead of prefilling them, or "". It is the last back end known to
-// have prefilled all of them, else the most likely one.
+// copySource returns the address of a back end from which the chosen one can copy shared parts
+// of the prompt instead of prefilling them, or "". It is the back end last known to have
+// prefilled all of them. If none is known, it is the first other member in rendezvous order,
+// which has probably prefilled them; but if the chosen one itself has long ranked before that
+// member, a holder of a prefix is preferred.
 func (c *Core) copySource(now time.Time, x *Exchange, chosen *member) string {
 	part := x.request.affinity()
 	if part == "" || c.config.Disabled[Copying] {
@@ -40,9 +42,9 @@
 	return first.backEnd.Address
 }
 
-// hasLongRankedFirst reports whether the target, which now ranks first, has done so for long,
-// as far as this gateway knows. If it has, the next member in the ranking hasn't prefilled
-// the part in the target's place.
+// hasLongRankedFirst reports whether the target has long ranked before next, which it now
+// precedes in rendezvous order, as far as this gateway knows. If it has, next probably hasn't
+// prefilled the part in the target's place.
 func (c *Core) hasLongRankedFirst(now time.Time, target, next *member) bool {
 	isNewcomer := target.firstSeen.Sub(next.firstSeen) >= newcomerAgeGap
 	return !isNewcomer && now.Sub(c.listedAt) >= holderLearningTime
@@ -53,8 +55,8 @@
 	return m != nil && m != target && m.health.reachable(now)
 }
 
-// usableHolder returns the back end that was last known to have prefilled the part and from
-// which the target can copy, or nil.
+// usableHolder returns the most recent known holder of the part from which the target can copy,
+// or nil. With a nil target, every reachable holder counts.
 func (c *Core) usableHolder(now time.Time, part partKey, target *member) *member {
 	for _, holder := range c.holders.holdersOf(now, part) {
 		m := c.presentMember(now, holder.ID)
@@ -67,7 +69,7 @@
 
 // firstRanked returns the first member in rendezvous order from which the target can copy,
 // leaving members included, and whether it ranks before the target. After a restart of all
-// gateways, or after the target has joined, that member is the one that prefilled the part.
+// gateways, or after the target has joined, that member has probably prefilled the part.
 func (c *Core) firstRanked(now time.Time, x *Exchange, target *member) (first *member, isBefore bool) {
 	isBefore = true
 	c.order.ranking.rank(x.request.affinity(), c.poolMembers(now, x.service), func(*member) bool { return false })
@@ -82,10 +84,10 @@
 	return nil, false
 }
 
-// prefixHolder returns a back end that holds the longest prefix of the prompt that any back
-// end is known to hold, or nil. While caches fill, each back end gets the same few prefixes
-// with ever new continuations. When each back end prefilled them itself, they made up 170,000
-// of the 280,000 shared tokens that 42 engines prefilled more than once on a quiet day.
+// prefixHolder returns a known holder of the longest possible prefix of the prompt that ends before
+// its last shared part, or nil. While caches fill, each back end gets the same few prefixes with
+// ever new continuations. If each of 42 back ends prefills these prefixes itself, they make up
+// 170,000 of the 280,000 shared tokens that are prefilled more than once on a quiet day.
 func (c *Core) prefixHolder(now time.Time, x *Exchange, target *member) *member {
 	if c.config.Disabled[PrefixCopies] {
 		return nil
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -9,11 +9,12 @@
 )
 
 // crashMemory remembers which requests were in flight at back ends when these crashed, by the
-// content of the request. A request that crashes every back end comes back under another ID,
-// at any gateway, and each crash also ends all other requests running on that back end.
+// content of the request: a caller sends a request that crashes back ends again under another
+// ID, at any gateway. Each crash also ends all other requests running on that back end, so most
+// of the remembered contents are harmless.
 //
-// The evidence for a crash only ever rises (see evidence), and records are merged by taking
-// the higher evidence of each crash. So gateways that received the same reports agree,
+// The evidence for a published crash only ever rises (see evidence), and records are merged by
+// taking the higher evidence of each crash. So gateways that received the same reports agree,
 // regardless of the order, and a report stops spreading where it is already known.
 type crashMemory struct {
 	// suspected holds contents under which fewer than crashesToWithhold back ends crashed, and
@@ -42,11 +43,13 @@
 const (
 	// presumed: a connection was lost, and the back end hasn't answered since.
 	presumed evidence = iota + 1
-	// survived: the back end has answered another request since, so it hadn't crashed.
+	// survived: the back end has answered a request that was sent since, so it hadn't crashed.
 	survived
-	// confirmed: a connection attempt has failed since, or another incarnation was found.
+	// confirmed: a connection attempt has failed since, or another back end was found at the
+	// address.
 	confirmed
-	// cleared: a request with the same content has been answered completely since.
+	// cleared: a request with the same content has been answered completely since, or an
+	// operator has released the content.
 	cleared
 )
 
@@ -67,7 +70,8 @@
 	// only dropped connections answers a request in that time, which saves publishing hundreds
 	// of records.
 	crashPublishDelay = 500 * time.Millisecond
-	// maxAwaited bounds the incarnations whose next answer is awaited.
+	// maxAwaited bounds the incarnations whose next answer is awaited. If there are more, all
+	// earlier ones are forgotten.
 	maxAwaited = 4096
 	// withholdTime is how long a content is withheld after the last crash under it.
 	withholdTime = 24 * time.Hour
@@ -166,8 +170,8 @@
 	return now.Sub(lostAt) >= crashPublishDelay
 }
 
-// confirmGone records that the incarnation no longer exists, and reports whether connections
-// had been lost at it before.
+// confirmGone records that the incarnation has ended, as far as is known, and reports whether
+// connections had been lost at it before.
 func (m *crashMemory) confirmGone(of incarnationKey) bool {
 	if _, awaited := m.lostAt[of]; !awaited {
 		return false
@@ -177,7 +181,8 @@
 	return true
 }
 
-// raiseEvidence raises the evidence of all presumed crashes of the incarnation.
+// raiseEvidence raises the evidence of all presumed crashes of the incarnation. Those that it
+// survived and that aren't published yet are removed instead.
 func (m *crashMemory) raiseEvidence(of incarnationKey, found evidence) {
 	for _, record := range m.records() {
 		at := record.index(of)
@@ -197,7 +202,8 @@
 	}
 }
 
-// clearContent records that a request with the content was answered completely.
+// clearContent records that a request with the content was answered completely, or that an
+// operator released the content: its crashes so far no longer count.
 func (m *crashMemory) clearContent(fingerprint Fingerprint) {
 	record := m.get(fingerprint)
 	if record == nil {
@@ -229,7 +235,7 @@
 	}
 }
 
-// merge merges a peer's record of a content.
+// merge merges a record of a content from a peer or the store.
 func (m *crashMemory) merge(now time.Time, received CrashRecord) {
 	record := m.getOrCreate(received.Fingerprint)
 	raised := false
@@ -256,7 +262,7 @@
 }
 
 // classify moves the record between the suspected and the withheld ones as needed; isFromPeer
-// is true after a peer's report.
+// is true after a record was merged.
 func (m *crashMemory) classify(record *crashRecord, isFromPeer bool) {
 	fingerprint, crashes := record.fingerprint, record.crashCount()
 	isWithheld, wasWithheld := crashes >= crashesToWithhold, m.withheld.Contains(fingerprint)
@@ -274,7 +280,8 @@
 	m.withheldChanges = append(m.withheldChanges, WithheldChange{Record: record.export(), Withheld: isWithheld, Own: isOwn})
 }
 
-// withholds reports whether requests with the content are withheld.
+// withholds reports whether requests with the content are withheld. It releases a content whose
+// withholdTime has passed.
 func (m *crashMemory) withholds(now time.Time, fingerprint Fingerprint) bool {
 	record, withheld := m.withheld.Get(fingerprint)
 	if !withheld {
--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashes_test.go
@@ -14,7 +14,7 @@
 	_ "github.com/harriernotch/harriernotch/internal/fixedseed"
 )
 
-// requestWithContent returns a request with a content.
+// requestWithContent returns a request whose content has the given fingerprint.
 func requestWithContent(content uint64, id string) Request {
 	made := request(repeatable(1), id)
 	made.Fingerprints = func() []Fingerprint { return []Fingerprint{Fingerprint(content)} }
--- a/internal/dispatch/disable.go
+++ b/internal/dispatch/disable.go
@@ -6,8 +6,8 @@
 
 // The mechanisms that keep the promises made to callers.
 const (
-	// AtMostOnce prevents that a request that may have run is sent again, and limits attempts
-	// to those that the route allows.
+	// AtMostOnce keeps a request that may have run from being sent again, unless its route
+	// allows that, and limits the number of attempts to the route's.
 	AtMostOnce Mechanism = "at-most-once"
 	// RespectLeaving keeps new requests from back ends that are leaving.
 	RespectLeaving Mechanism = "leaving"
@@ -45,15 +45,16 @@
 	BalanceMemory Mechanism = "even-memory"
 	// Copying names a back end from which a prompt's parts can be copied.
 	Copying Mechanism = "copying"
-	// PrefixCopies copies the prefix of a prompt if no back end holds the rest.
+	// PrefixCopies names a holder of a prefix of the prompt if no back end is known to hold more.
 	PrefixCopies Mechanism = "prefix-copies"
 	// LoadBound keeps the load of a caching back end within the bound.
 	LoadBound Mechanism = "load-bound"
 	// AdmissionLottery divides the room near the bound among gateways at random.
 	AdmissionLottery Mechanism = "lots"
-	// ExtrapolatePeers assumes that peers have sent as much as this gateway since their last report.
+	// ExtrapolatePeers assumes that peers have sent as much as this gateway since their last
+	// report, limited by the demand for the member.
 	ExtrapolatePeers Mechanism = "peers-since"
-	// Spread chooses members at random, by free capacity, if load information is out of date.
+	// Spread chooses members at random, by free capacity, while loads are known from totals.
 	Spread Mechanism = "spread"
 	// UrgencySteps refuses the least urgent requests first.
 	UrgencySteps Mechanism = "urgency-steps"
@@ -63,19 +64,19 @@
 	Ejection Mechanism = "ejection"
 	// SilenceDetection avoids back ends that leave requests without any answer.
 	SilenceDetection Mechanism = "silence"
-	// Trials sends one request at a time to a back end after its ejection.
+	// Trials sends one request at a time to a back end after its ejection or Retry-After.
 	Trials Mechanism = "trials"
-	// WholePool uses all reachable members of a pool if most of them are ejected.
+	// WholePool uses all reachable members of a pool if fewer than half of it are usable.
 	WholePool Mechanism = "whole-pool"
 	// Lapse keeps using back ends that disappeared from the list together.
 	Lapse Mechanism = "lapse"
-	// FailingPaths doesn't retry requests whose path fails on every back end.
+	// FailingPaths doesn't retry requests whose path recently failed on more than one back end.
 	FailingPaths Mechanism = "failing-paths"
 	// OwnZone prefers the gateway's own zone among equally loaded back ends.
 	OwnZone Mechanism = "own-zone"
 	// LoadShedding refuses some requests at once while the process lags.
 	LoadShedding Mechanism = "late-refusal"
-	// Retries tries another back end after a failed attempt.
+	// Retries tries another back end after an attempt that was sent and failed.
 	Retries Mechanism = "further-attempts"
 	// Resumption continues interrupted streams at another back end.
 	Resumption Mechanism = "resumption"
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -28,10 +28,9 @@
 	// that caches them and balance the pool less evenly.
 	LoadMultiple float64
 	LoadSlack    float64
-	// QueueFactor is the number of requests per slot that a back end without a
-	// prefix cache may be given; beyond that the gateway refuses the request.
-	// CachingFactor is the same for the most urgent requests at back ends that
-	// cache prompts.
+	// QueueFactor is the load, in requests per slot, up to which a back end is given
+	// requests without a prompt, and CachingFactor the same for the most urgent
+	// requests with a prompt. If no back end has room, the request is refused.
 	QueueFactor   float64
 	CachingFactor float64
 	// RetryRatio and RetryExtra bound the retries of all gateways together in any
@@ -51,7 +50,7 @@
 	// Rollout bounds the exposure to a bad version during a rollout. The zero value
 	// disables rollouts.
 	Rollout rollout.Limits
-	// Disabled switches mechanisms off, to show that the checks detect it.
+	// Disabled is the set of mechanisms that are switched off; see Mechanism.
 	Disabled Disabled
 }
 
@@ -100,8 +99,8 @@
 	gateways        int
 	healthChanges   []HealthChange
 	lag             time.Duration
-	// evacuated lists the zones whose back ends get no new requests. restored holds, by zone,
-	// the last evacuation that was withdrawn.
+	// evacuated lists the zones whose back ends get no new requests, and restored holds, by
+	// zone, the last withdrawal of an evacuation.
 	evacuated []string
 	restored  map[string]restoration
 	selection gatewaySelection
@@ -117,8 +116,8 @@
 	BackEnd string
 	From    Health
 	To      Health
-	// Failures is the number of consecutive connection failures, and ErrorRate the
-	// recent share of failed answers: the figures behind the change.
+	// Failures is the number of consecutive attempts that got no valid answer, and ErrorRate
+	// the recent share of error answers: the figures behind the change.
 	Failures  int
 	ErrorRate float64
 }
@@ -130,7 +129,7 @@
 	return changes
 }
 
-// recordHealthChange records a change of the member's health since the last record.
+// recordHealthChange records the member's health if it differs from the last one recorded.
 func (c *Core) recordHealthChange(now time.Time, m *member) {
 	status := m.health.status(now)
 	if status == m.loggedHealth {
@@ -171,7 +170,8 @@
 }
 
 // SetBackEnds replaces the list of back ends, which is ordered by ID. The state
-// of back ends that remain listed is kept.
+// of an incarnation that remains listed, or had lapsed and is listed again, is
+// kept.
 func (c *Core) SetBackEnds(now time.Time, list []catalog.BackEnd) {
 	if c.listedAt.IsZero() {
 		c.listedAt = now
@@ -289,7 +289,7 @@
 	WarmsUp   bool
 }
 
-// BackEndStatuses returns the status of all back ends, ordered by service and ID.
+// BackEndStatuses returns the status of all listed back ends, ordered by service and ID.
 func (c *Core) BackEndStatuses(now time.Time) []BackEndStatus {
 	var statuses []BackEndStatus
 	for _, service := range slices.Sorted(maps.Keys(c.pools)) {
@@ -312,11 +312,12 @@
 type ServiceStatus struct {
 	// Name is the name of the service.
 	Name string
-	// RetryBudget is the number of retries left, and UnderWay the number of this
-	// gateway's requests in flight.
+	// RetryBudget is the number of retries that this gateway may make now, and InFlight
+	// the number of its requests in flight.
 	RetryBudget float64
 	InFlight    int
-	// BackEnds counts the listed back ends, and Unusable those that aren't healthy.
+	// BackEnds counts the listed back ends, and Unusable those of them whose health isn't
+	// Healthy.
 	BackEnds int
 	Unusable int
 }
--- a/internal/dispatch/displaced.go
+++ b/internal/dispatch/displaced.go
@@ -31,7 +31,7 @@
 	return added
 }
 
-// noteDisplaced marks the member as gone if its incarnation is known to have ended.
+// noteDisplaced marks the member as displaced if its incarnation is known to have ended.
 func (c *Core) noteDisplaced(m *member) {
 	if c.displaced.contains(m.backEnd) {
 		m.health.displaced = true
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -13,7 +13,7 @@
 
 // The phases of an exchange.
 const (
-	// Received: no attempt is in flight.
+	// Received: no attempt has begun yet.
 	Received Phase = iota
 	// Sent: an attempt is waiting for its answer.
 	Sent
@@ -80,11 +80,11 @@
 	// HeadTimeout is how long to wait for the head of the answer before another back end is
 	// tried; 0 means until the deadline.
 	HeadTimeout time.Duration
-	// Estimate is the estimated load of the target, and Candidates the number of members of
-	// its pool.
+	// Estimate is the estimated load of the target before this attempt, and PoolSize the number
+	// of members of its pool.
 	Estimate float64
 	PoolSize int
-	// Version is the software version of the back end during a rollout of its service.
+	// Version is the software version of the target during a rollout of its service, else "".
 	Version string
 }
 
@@ -118,7 +118,7 @@
 	return x, c.attempt(now, x)
 }
 
-// attempt chooses a back end and starts the attempt.
+// attempt starts an attempt at a back end that it chooses, or gives up if there is none.
 func (c *Core) attempt(now time.Time, x *Exchange) Decision {
 	if !now.Before(x.request.Deadline) {
 		return c.giveUp(now, x, failure.DeadlineUnmeetable, "the deadline passed before a back end answered")
--- a/internal/dispatch/health.go
+++ b/internal/dispatch/health.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Health is the assumed health of a back end. It is derived from the answers to requests; no
+// Health is the assumed health of a back end. It is derived from the outcomes of requests; no
 // probes are sent.
 type Health uint8
 
@@ -10,13 +10,14 @@
 const (
 	// Healthy back ends are chosen normally.
 	Healthy Health = iota
-	// OnTrial back ends have been ejected until recently: one repeatable request at a time
-	// tests whether they work again.
+	// OnTrial back ends were ejected or resting until recently: one request at a time tests
+	// whether they work again. Shortly after an ejection only a repeatable one is used.
 	OnTrial
 	// Silent back ends have left requests waiting without any answer.
 	Silent
-	// Ejected back ends lost connections, could not be reached, or failed much more often
-	// than the rest of their pool.
+	// Ejected back ends couldn't be connected to, repeatedly gave no valid answer, or failed
+	// much more often than the rest of their pool or in a trial. A back end whose address is
+	// used by another one counts as ejected, too.
 	Ejected
 	// Resting back ends refused a request of this gateway with a Retry-After that hasn't passed.
 	Resting
@@ -28,12 +29,12 @@
 func (h Health) String() string { return healthNames[h] }
 
 const (
-	// baseEjectionTime and maxEjectionTime bound the duration of an ejection; it doubles with
-	// each consecutive failure.
+	// baseEjectionTime and maxEjectionTime bound the duration of an ejection for attempts
+	// without a valid answer; it doubles with each consecutive one.
 	baseEjectionTime = 500 * time.Millisecond
 	maxEjectionTime  = 4 * time.Second
-	// failuresToEject is the number of consecutive lost connections that eject a back end. A
-	// failed connection attempt ejects it at once.
+	// failuresToEject is the number of consecutive attempts without a valid answer that eject
+	// a back end. A failed connection attempt ejects it at once, as does a failed trial.
 	failuresToEject = 2
 	// silenceLimit is how long requests may wait without any answer from the back end.
 	silenceLimit = time.Second
@@ -54,7 +55,8 @@
 type health struct {
 	consecutiveFailures int
 	ejectedUntil        time.Time
-	// onTrial is set until a trial succeeds, and trials counts the trials in flight.
+	// onTrial is set from an ejection or a Retry-After until a request succeeds. trials is
+	// raised for each request sent in that state, and lowered whenever a request no longer waits.
 	onTrial   bool
 	trials    int
 	errorRate float64
@@ -75,8 +77,9 @@
 	lastConnectFailed bool
 }
 
-// reachable reports whether other back ends may copy from this one. Its error rate doesn't
-// matter, only that it accepts connections and hasn't asked for a pause.
+// reachable reports whether the back end presumably accepts connections and answers, and hasn't
+// asked for a pause. That suffices for other back ends to copy from it, and for requests if most
+// of its pool isn't usable: its error rate doesn't matter.
 func (h *health) reachable(now time.Time) bool {
 	return !h.lastConnectFailed && !h.displaced && h.retryWait(now) == 0 && h.status(now) != Silent
 }
@@ -163,7 +166,8 @@
 	}
 }
 
-// connectionLost records a connection that ended without an answer.
+// connectionLost records an attempt whose connection was lost, whose answer was invalid, or that
+// timed out.
 func (h *health) connectionLost(now time.Time) {
 	h.consecutiveFailures++
 	if h.consecutiveFailures >= failuresToEject || h.onTrial {
@@ -171,7 +175,7 @@
 	}
 }
 
-// connectFailed records a failed connection attempt.
+// connectFailed records a failed connection attempt, or one that reached another back end.
 func (h *health) connectFailed(now time.Time) {
 	h.consecutiveFailures++
 	h.lastConnectFailed = true
--- a/internal/dispatch/incarnation_test.go
+++ b/internal/dispatch/incarnation_test.go
@@ -130,7 +130,8 @@
 	is.True(sent <= 8)
 }
 
-// crashingRequest returns a request for the part whose content may be suspected after a crash.
+// crashingRequest returns a request with the part, and with a content that can be suspected after
+// a crash.
 func crashingRequest(part string) Request {
 	made := chatRequest("crashing", part)
 	made.Fingerprints = func() []Fingerprint { return []Fingerprint{1} }
--- a/internal/dispatch/lapse.go
+++ b/internal/dispatch/lapse.go
@@ -26,8 +26,8 @@
 	until time.Time
 }
 
-// lapse records the members that the new list lacks, and forgets lapsed members that are
-// listed again or whose time has passed.
+// lapse records the members that the new list lacks, except those that were leaving, and
+// forgets lapsed members that are listed again or whose time has passed.
 func (c *Core) lapse(now time.Time, listed map[string]*member) {
 	for id, lapsed := range c.lapsed {
 		if listed[id] != nil || !now.Before(lapsed.until) {
--- a/internal/dispatch/member.go
+++ b/internal/dispatch/member.go
@@ -133,15 +133,15 @@
 }
 
 // burstFactor limits how many requests a peer is assumed to have sent to a member since its
-// last report, as a multiple of the member's mean demand. Higher values stay further below
-// the bound, and send more chats away from their holders during a burst at one gateway
-// that the other gateways don't see.
+// last report, as a multiple of this gateway's mean demand for the member. Higher values
+// stay further below the bound, and send more chats away from their holders during a burst at
+// one gateway that the other gateways don't see.
 const burstFactor = 3
 
 // sum returns the number of requests that peers recently reported, an estimate of those that
 // they have sent since, and the number of these peers. All gateways see requests for the same
-// prompt parts and choose alike. So each peer is assumed to have sent as many requests since
-// its report as this gateway did, limited by the demand for the member.
+// prompt parts and choose alike. So each peer is assumed to have as many more requests in
+// flight since its report as this gateway has, limited by the demand for the member.
 func (p peerLoads) sum(now time.Time, m *member) (reported int, unreported float64, peers int) {
 	id := m.backEnd.ID
 	demand := burstFactor * m.demand.perSecond(now)
@@ -158,7 +158,8 @@
 
 // estimate returns the load of all gateways at a back end. It uses the totals if they are
 // recent; else the peers' reports if every peer reported recently; else the back end's own
-// report; else the known counts, scaled up to the number of gateways.
+// report, or the known counts if they are higher; else the known counts, scaled up to the
+// number of gateways.
 func (c *Core) estimate(now time.Time, m *member) float64 {
 	if c.totalsAreFresh(now) {
 		return float64(m.own) + m.others.requests
@@ -168,7 +169,8 @@
 }
 
 // knownLoad returns the part of the load at a back end that is known from reports, without
-// an estimate for gateways that haven't reported.
+// an estimate for gateways that haven't reported. Only totals contain such an estimate, for
+// the gateways that weren't counted; see ApplyTotals.
 func (c *Core) knownLoad(now time.Time, m *member) float64 {
 	if c.totalsAreFresh(now) {
 		return float64(m.own) + m.others.requests
@@ -192,7 +194,7 @@
 	return c.extrapolate(now, m, float64(m.own+reported)+unreported, peers)
 }
 
-// extrapolate completes a load for gateways that haven't reported.
+// extrapolate raises the counted load by an estimate for gateways that haven't reported.
 func (c *Core) extrapolate(now time.Time, m *member, counted float64, peers int) float64 {
 	if peers >= c.gateways-1 {
 		return counted
--- a/internal/dispatch/notice.go
+++ b/internal/dispatch/notice.go
@@ -9,14 +9,14 @@
 	// until the incarnation ends: a store that is unavailable, or still lists the back end as
 	// ready, doesn't revoke it.
 	Leaving bool
-	// RetryAfter is how long the back end wants no requests from this gateway, which it has just
-	// refused; 0 if it didn't say. It doesn't apply to other gateways: the back end tells each
-	// gateway separately.
+	// RetryAfter is how long the back end wants no requests from this gateway, one of which it
+	// has just refused; 0 if it didn't say. It doesn't apply to other gateways: the back end
+	// asks each gateway separately.
 	RetryAfter time.Duration
 }
 
-// ApplyNotice applies the notice in the answer to the current attempt, and reports whether it
-// changed anything.
+// ApplyNotice applies the notice in the answer to the current attempt. It reports whether the
+// notice contained a Retry-After, or an announcement to leave that wasn't known yet.
 func (c *Core) ApplyNotice(now time.Time, x *Exchange, notice Notice) (changed bool) {
 	m := x.current
 	if m == nil || c.config.Disabled[RespectNotices] {
@@ -33,9 +33,9 @@
 	return changed
 }
 
-// earliestRetry returns the shortest time until a resting member that could take the
-// exchange's request may be asked again; 0 if no such member rests. all is set if no other
-// member could take the request.
+// earliestRetry returns the shortest remaining Retry-After of the members that accept requests
+// such as the exchange's; 0 if none of them rests. all is true if there are such members and all
+// of them rest.
 func (c *Core) earliestRetry(now time.Time, x *Exchange) (wait time.Duration, all bool) {
 	all = true
 	for _, m := range c.poolMembers(now, x.service) {
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// endUnanswered ends an attempt that got no answer, applies its outcome to the member, and
-// records a change of the member's health.
+// endUnanswered ends an attempt that got no answer to pass on, applies its outcome to the
+// member, and records a change of the member's health.
 func (c *Core) endUnanswered(now time.Time, x *Exchange, outcome func(m *member)) {
 	m := x.release(now)
 	x.endWait(m)
@@ -72,8 +72,9 @@
 	return c.attempt(now, x)
 }
 
-// Refused records that the back end declared that it did not run the request. A refusal while
-// the back end has room counts as a failure, unless it came with a Retry-After.
+// Refused records that the back end declared that it did not run the request. The refusal counts
+// as a failure if the back end's estimated load is less than half of its slots, unless a
+// Retry-After is pending.
 func (c *Core) Refused(now time.Time, x *Exchange) Decision {
 	c.endUnanswered(now, x, func(m *member) {
 		c.noteAnswered(now, x, m)
@@ -106,20 +107,22 @@
 	return c.afterUnknownOutcome(now, x)
 }
 
-// InvalidAnswer records an answer that isn't the back end's answer to this request, which may
-// have run.
+// InvalidAnswer records an answer that can't be used, for example because it isn't the back end's
+// own answer to this request. The request may have run.
 func (c *Core) InvalidAnswer(now time.Time, x *Exchange) Decision {
 	c.endUnanswered(now, x, func(m *member) { m.health.connectionLost(now) })
 	return c.afterUnknownOutcome(now, x)
 }
 
-// afterUnknownOutcome decides how to proceed after an attempt that got no answer and may have run.
+// afterUnknownOutcome decides how to proceed after an attempt that got no valid answer and may
+// have run.
 func (c *Core) afterUnknownOutcome(now time.Time, x *Exchange) Decision {
 	x.ran = failure.RanUnknown
 	return c.retryOrGiveUp(now, x, failure.BackendFailed, "the back end broke off before it answered")
 }
 
-// TimedOut records that no head arrived within the attempt's head timeout or the deadline.
+// TimedOut records that no answer to pass on arrived within the attempt's head timeout or the
+// deadline. The request may have run.
 func (c *Core) TimedOut(now time.Time, x *Exchange) Decision {
 	c.endUnanswered(now, x, func(m *member) { m.health.connectionLost(now) })
 	x.ran = failure.RanUnknown
@@ -127,7 +130,7 @@
 }
 
 // Failed records an error answer of the back end itself. It is passed on to the caller unless
-// another attempt may help.
+// another attempt is allowed and may help.
 func (c *Core) Failed(now time.Time, x *Exchange) Decision {
 	m := x.current
 	x.ran = failure.RanYes
@@ -173,8 +176,8 @@
 	}
 }
 
-// Truncated records that the connection was lost after the head of an answer, and decides
-// whether the stream is resumed at another back end.
+// Truncated records that a stream broke off after its head, and decides whether it is resumed at
+// another back end.
 func (c *Core) Truncated(now time.Time, x *Exchange) Decision {
 	m := x.release(now)
 	m.health.connectionLost(now)
@@ -196,7 +199,7 @@
 	x.phase = Ended
 }
 
-// retryOrGiveUp decides whether to try again after an attempt that got no answer.
+// retryOrGiveUp decides whether to try again after an attempt that got no answer to pass on.
 func (c *Core) retryOrGiveUp(now time.Time, x *Exchange, kind failure.Kind, message string) Decision {
 	if c.config.Disabled[Retries] {
 		return c.giveUp(now, x, kind, message)
@@ -211,6 +214,7 @@
 	return c.attempt(now, x)
 }
 
+// mayRetry reports whether the route allows another attempt at a request that has run.
 func (c *Core) mayRetry(x *Exchange) bool {
 	if c.config.Disabled[Retries] {
 		return false
@@ -218,12 +222,14 @@
 	return x.request.Route.MayRepeat() && x.attempts < x.request.Route.MaxAttempts
 }
 
+// hasAlternative reports whether there is another member that may take the request.
 func (c *Core) hasAlternative(now time.Time, x *Exchange) bool {
 	c.pickSide(now, x)
 	return len(c.candidates(now, x)) > 0
 }
 
-// poolErrorRate returns the mean error rate of the service's other members.
+// poolErrorRate returns the mean error rate of the service's other members. It is 1 if there are
+// none, so that a sole member isn't ejected for its error rate.
 func (c *Core) poolErrorRate(service string, except *member) float64 {
 	pool := c.pools[service]
 	if pool == nil || len(pool.members) < 2 {
--- a/internal/dispatch/paths.go
+++ b/internal/dispatch/paths.go
@@ -11,18 +11,20 @@
 const (
 	// maxRememberedPaths bounds the number of failed paths remembered.
 	maxRememberedPaths = 4096
-	// pathFailureTTL is how long a path is assumed to fail on every back end.
+	// pathFailureTTL is how long a failure of a path counts.
 	pathFailureTTL = 30 * time.Second
 )
 
-// pathMemory remembers paths that failed on two back ends. Retrying a request to such a path
-// would only spend retry budget.
+// pathMemory remembers paths on which back ends recently failed. A path that failed on more than
+// one back end is assumed to fail on all: retrying a request to it would only spend retry budget.
 type pathMemory struct {
 	failed *lru.Cache[string, pathFailure]
 }
 
+// pathFailure is the last failure of a path.
 type pathFailure struct {
-	backEnd    catalog.Incarnation
+	backEnd catalog.Incarnation
+	// everywhere is set once the path has failed on more than one back end.
 	everywhere bool
 	at         time.Time
 }
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -32,10 +32,10 @@
 	return chosen
 }
 
-// candidates returns the members that may take the request. If fewer than half of those that
-// are eligible are usable, the cause is probably common to the whole pool. Then it returns all
-// reachable members, so that a few don't get the whole load, or all eligible members if none is
-// reachable.
+// candidates returns the members that may take the request: the eligible ones that are usable.
+// If these are fewer than half of the eligible ones, the cause is probably common to the whole
+// pool. Then it returns all eligible members that are usable or at least reachable, so that a few
+// don't get the whole load, or all eligible members if there are none.
 func (c *Core) candidates(now time.Time, x *Exchange) []*member {
 	pool := c.poolMembers(now, x.service)
 	c.usable = c.usable[:0]
@@ -88,10 +88,10 @@
 	return !leaves && !evacuated && c.allowedByRollout(now, x, m)
 }
 
-// capacity returns the load up to which the member is given requests of this urgency. Services
-// without prompts may queue for a while, since their requests are short. At back ends that cache
-// prompts, every further request slows down all others that run there. So there the least urgent
-// requests are refused first, while more urgent ones still find room.
+// capacity returns the load up to which the member is given the request. Requests without a
+// prompt may queue for a while, since they are short. At back ends that cache prompts, every
+// further request slows down all others that run there. So there the least urgent requests are
+// refused first, while more urgent ones still find room.
 func (c *Core) capacity(m *member, x *Exchange) float64 {
 	if m.backEnd.Slots <= 0 {
 		return defaultCapacity
@@ -114,8 +114,9 @@
 	lastUrgencyStep = 4
 )
 
-// hasRoom reports whether the request fits into the member's capacity. It uses known loads
-// only: no request is refused because of an estimate of the other gateways' loads.
+// hasRoom reports whether the request fits into the member's capacity. It uses knownLoad: no
+// request is refused because of what other gateways may have sent since their reports, or, unless
+// there are totals, because of an estimate for gateways that haven't reported.
 func (c *Core) hasRoom(now time.Time, m *member, x *Exchange) bool {
 	return c.knownLoad(now, m)+1 <= c.capacity(m, x)
 }
@@ -123,8 +124,9 @@
 // defaultCapacity applies to back ends that don't report their number of slots.
 const defaultCapacity = 64
 
-// chooseByAffinity returns the first member within the bound on load, in the order of
-// preference.
+// chooseByAffinity returns the first member, in the order of preference, that stays within the
+// bound on load, which a lottery may decide, and has room. If there is none, it returns the least
+// loaded member that has room, or nil.
 func (c *Core) chooseByAffinity(now time.Time, x *Exchange, candidates []*member) *member {
 	bound := c.bound(now, x)
 	overflow := 0.0
@@ -150,8 +152,9 @@
 // preference yields candidates in the order of preference.
 type preference struct {
 	ranking ranking
-	// nonHolderYielded is set once a member that doesn't hold the part was yielded, and second
-	// is the one that it was compared with.
+	// nonHolderYielded is set once a member that doesn't hold the part was yielded, or from the
+	// beginning if memory isn't balanced. second is the member that it was compared with, until
+	// that one is yielded.
 	nonHolderYielded bool
 	second           *member
 }
@@ -208,9 +211,9 @@
 // the gateway's zone when loads are equal.
 const otherZonePenalty = 0.5
 
-// leastLoaded returns the member with the lowest load per slot, or nil if all are full. If load
-// information is out of date it chooses at random instead; see spread. Ties are broken by a hash
-// of the request, so that gateways don't all choose the same member.
+// leastLoaded returns the member with the lowest load per slot, or nil if all are full. Ties are
+// broken by a hash of the request, so that gateways don't all choose the same member. If loads
+// are known from totals, which lag behind, it chooses at random instead; see spread.
 func (c *Core) leastLoaded(now time.Time, x *Exchange, candidates []*member) *member {
 	if c.totalsAreFresh(now) && !c.config.Disabled[Spread] {
 		return c.spread(now, x, candidates)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -6,8 +6,8 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// Part is one part of a prompt. Parts are shared between requests, except for the last one,
-// which belongs to the request or its chat.
+// Part is one part of a prompt. Parts are shared between requests, except for the last of
+// several, which belongs to the request or its chat.
 type Part struct {
 	// ID identifies the part; it is the same in all prompts that contain the part.
 	ID string
@@ -28,7 +28,7 @@
 	// Urgency ranks the request; 0 is the most urgent.
 	Urgency int
 	// Fingerprints returns the fingerprints of the request's content. It is nil if the content
-	// isn't fingerprinted, and is called only after back ends have crashed.
+	// isn't fingerprinted, and is called only once back ends may have crashed.
 	Fingerprints func() []Fingerprint
 	// Deadline is when the caller's or the route's time limit ends the request.
 	Deadline time.Time
@@ -58,7 +58,8 @@
 }
 
 // shorterPrefixes returns the shared parts before the last one: the prefix that the prompt
-// has in common with prompts whose last shared part is another one.
+// has in common with prompts whose last shared part is another one. Each of them stands for the
+// prefix that ends with it.
 func (r *Request) shorterPrefixes() []Part {
 	if len(r.Parts) < 3 {
 		return nil
--- a/internal/dispatch/rollouts.go
+++ b/internal/dispatch/rollouts.go
@@ -14,11 +14,12 @@
 // them before it learns of the order.
 const newVersionHold = 2 * time.Second
 
-// rollouts holds the orders to roll services out to other versions.
+// rollouts holds the orders to roll services out to other versions. During a rollout, back ends of
+// the target version are the candidate's, and all others of the service the standing version's.
 type rollouts struct {
 	limits rollout.Limits
-	// byService holds the orders in force. It includes orders that were withdrawn before a
-	// verdict, whose candidate version gets no requests while it is present.
+	// byService holds the orders in force. It includes withdrawn orders that weren't completed:
+	// their candidate version gets no requests for as long as it runs beside other versions.
 	byService map[string]*rollout.Judge
 	// withdrawn are the services whose order in byService was withdrawn.
 	withdrawn map[string]bool
@@ -99,7 +100,8 @@
 }
 
 // withdrawRollout ends an order that is no longer listed. Without a verdict its candidate was
-// never found good, and counts as reverted for as long as it runs beside other versions.
+// never found good, so the order counts as reverted for as long as the candidate runs beside
+// other versions.
 func (c *Core) withdrawRollout(now time.Time, service string) {
 	if c.rollouts.withdrawn[service] {
 		return
@@ -127,8 +129,8 @@
 	return changes
 }
 
-// refreshRollouts updates the judges on whether their candidates are in service, and learns
-// which versions need no order.
+// refreshRollouts updates the judges on whether their candidates are in service, drops withdrawn
+// orders whose service no longer runs both versions, and learns which versions need no order.
 func (c *Core) refreshRollouts(now time.Time) {
 	if !c.rollouts.enabled() {
 		return
@@ -216,8 +218,8 @@
 	}
 	side := sideOf(judge, m)
 	if !judge.Allows(side) {
-		// Back ends that remain of the standing version serve until the candidate's back ends are
-		// known.
+		// After the order is completed, back ends that remain of the standing version serve as long
+		// as this gateway knows none of the candidate's.
 		return side == rollout.Standing && !judge.HasCandidates()
 	}
 	return judge.State().IsVerdict() || side == x.side
--- a/internal/dispatch/spread.go
+++ b/internal/dispatch/spread.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// If load information is out of date, choosing the least loaded member doesn't work: all
-// gateways would send to the same one until the next update. Instead, the requests that have
-// begun since the last update are assumed to be spread over the members so that they fill
-// the emptiest first. Each request is placed at random on one of the members that they fill.
+// Totals lag behind, so choosing the least loaded member doesn't work with them: all gateways
+// would send to the same one until the next update. Instead, as many requests are assumed to
+// have begun since the counts were taken as have ended, and to fill the emptiest members first.
+// Each request is placed at random on one of the members that they fill.
 
 const (
 	// residenceWeight is the weight of the newest update in a residence time. It averages over
@@ -82,7 +82,9 @@
 	}
 }
 
-// meanResidence returns the mean time that a request stays at the members, in seconds.
+// meanResidence returns the mean time that a request stays at the members, in seconds. If too
+// little is known of them, it is the time of this gateway's own requests to the service, or
+// maxResidenceSeconds.
 func (c *Core) meanResidence(service string, members []*member) float64 {
 	all := residenceTime{}
 	for _, m := range members {
@@ -95,9 +97,10 @@
 // share is a member's part in a spread.
 type share struct {
 	member *member
-	// slots is the member's size, and residenceSeconds the time that a request stays there.
+	// slots is the member's number of slots, at least 1, and residenceSeconds the time that a
+	// request stays there.
 	slots float64
-	// remaining is what remains of the reported load after requests have ended since.
+	// remaining is the part of the estimated load that probably hasn't ended since it was counted.
 	remaining        float64
 	residenceSeconds float64
 }
--- a/internal/dispatch/totals.go
+++ b/internal/dispatch/totals.go
@@ -103,8 +103,8 @@
 // minCountedDivisor gateways. Sums over fewer say little about the others.
 const minCountedDivisor = 3
 
-// ApplyTotals sets the totals of all gateways. They include the counts that this gateway
-// reported, which are subtracted.
+// ApplyTotals sets the totals of all gateways, unless they include too few gateways. They include
+// the counts that this gateway reported, which are subtracted.
 func (c *Core) ApplyTotals(now time.Time, reported []Count, totals Totals) {
 	if totals.Counted < 1 || totals.Counted*minCountedDivisor < c.gateways {
 		return
--- a/internal/dispatch/warmup.go
+++ b/internal/dispatch/warmup.go
@@ -18,7 +18,7 @@
 // than one request, and a gateway can't send a fraction of a request.
 //
 // Gateways with different lists of gateways select different ones. Three rules keep the sum
-// within the limit all the same: gateways that have fallen silent keep their share, a gateway
+// within the limit nevertheless: gateways that have fallen silent keep their share, a gateway
 // whose list has just grown sends nothing to these back ends, and part of the limit isn't
 // allocated at all.
 
@@ -101,8 +101,8 @@
 	return true
 }
 
-// isSettled reports whether the list is old enough to be used. A core that was never given a
-// fleet is the only gateway.
+// isSettled reports whether the list hasn't grown for long enough to be used. A core that was
+// never given a fleet is the only gateway.
 func (s *gatewaySelection) isSettled(now time.Time) bool {
 	return s.others == nil || now.Sub(s.grewAt) >= fleetSettleTime
 }
@@ -216,7 +216,7 @@
 
 // withWarmUpQuota returns the candidates without those whose warm-up quota is used up. The
 // others are treated as if they were warm: their caches fill at the rate that they can serve,
-// and parts that rank them first are placed on them meanwhile.
+// and parts for which they rank first are already placed on them.
 func (c *Core) withWarmUpQuota(now time.Time, candidates []*member) []*member {
 	c.withQuota = c.withQuota[:0]
 	for _, m := range candidates {
--- a/internal/dispatch/warmup_test.go
+++ b/internal/dispatch/warmup_test.go
@@ -79,7 +79,8 @@
 	return peak, sent, refused
 }
 
-// The warm back ends could serve this burst alone, but the cold ones fill their caches meanwhile.
+// The warm back ends could serve this burst alone, but the cold ones must get requests too, to fill
+// their caches.
 func TestWarmingBackEndsServeRequests(t *testing.T) {
 	is := is.New(t)
 	peak, sent, refused := flood(newWarmUpFleet(23, 23, coldBackEnds(42, 11)), 900, 2900*time.Millisecond)
@@ -149,7 +150,7 @@
 	is.Equal(peak, 1)
 }
 
-// Other gateways may still discover one whose settings name no others.
+// A gateway whose settings name no others may still be discovered by others.
 func TestStartingGatewayWithoutSeedsIsNotAssumedAlone(t *testing.T) {
 	is := is.New(t)
 	core := newWarmUpFleet(1, 23, coldBackEnds(1, 1))[0]
--- a/internal/dispatch/withhold.go
+++ b/internal/dispatch/withhold.go
@@ -11,10 +11,10 @@
 )
 
 // A request that crashes the back ends that run it is withheld by all gateways once three back
-// ends have crashed under its content. A lost connection alone doesn't prove a crash, and most
-// requests in flight during a crash didn't cause it. So a lost connection doesn't count if the
-// back end answers anything later, or if the back end was about to leave. And no crash counts
-// once a request with the content is answered completely.
+// ends have crashed under its content, that is, while they ran requests with this content. A lost
+// connection alone doesn't prove a crash, and most requests in flight during a crash didn't cause
+// it. So a lost connection doesn't count if the back end answers a later request, or if the back
+// end was leaving. And a complete answer to a request with the content clears the crashes so far.
 
 // CrashRecord holds what a gateway reports to others of the crashes under one content.
 type CrashRecord struct {
@@ -31,7 +31,8 @@
 type WithheldChange struct {
 	Record   CrashRecord
 	Withheld bool
-	// Own is true if the change is based on this gateway's own observations, at least in part.
+	// Own is true if the change is based on this gateway's own observations, at least in part, on
+	// an operator's request to this gateway, or on the expiry of withholdTime.
 	Own bool
 }
 
@@ -66,7 +67,8 @@
 	c.noteRestarted(now, m)
 }
 
-// noteGone records that the member's incarnation no longer exists.
+// noteGone records that the member's incarnation has presumably ended, since it can't be
+// connected to or another back end uses its address.
 func (c *Core) noteGone(m *member) {
 	if len(c.crashes.lostAt) > 0 && c.crashes.confirmGone(incarnationKeyOf(m.backEnd)) {
 		c.presumeRestart(m)
