--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -94,7 +94,7 @@
 	once := admission.KeyTableConfig{
 		StartedAt:     now,
 		ClockError:    defaultClockError,
-		Retention:     bundle.KeyMemory,
+		Retention:     bundle.KeyRetention,
 		Capacity:      config.KeyCapacity,
 		MaxReplyBytes: config.ReplyBytes,
 		Disabled:      config.Disable.Keys,
--- a/internal/bundle/accept.go
+++ b/internal/bundle/accept.go
@@ -18,7 +18,7 @@
 type Acceptor struct {
 	trusted     []ed25519.PublicKey
 	current     *Bundle
-	heard       uint64
+	highestSeen uint64
 	confirmedAt time.Time
 }
 
@@ -58,21 +58,21 @@
 		return failure.New(failure.StaleBundle, fmt.Sprintf("number %d is not above %d, which is in force", opened.Number, a.Number()))
 	}
 	a.current = opened
-	a.Heard(opened.Number)
+	a.ObserveNumber(opened.Number)
 	a.confirmedAt = time.Time{}
 	return nil
 }
 
 // Heard notes a number that another node claims to have accepted. It is only
 // news: nothing is in force before its signature was checked.
-func (a *Acceptor) Heard(number uint64) {
-	if number > a.heard {
-		a.heard = number
+func (a *Acceptor) ObserveNumber(number uint64) {
+	if number > a.highestSeen {
+		a.highestSeen = number
 	}
 }
 
 // Behind tells whether a higher number was heard of than the one in force.
-func (a *Acceptor) Behind() bool { return a.heard > a.Number() }
+func (a *Acceptor) Behind() bool { return a.highestSeen > a.Number() }
 
 // Confirm notes that number was the platform's newest at the given moment of
 // the local clock. A confirmation of another number than the one in force says
--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -29,7 +29,7 @@
 	return ed25519.NewKeyFromSeed([]byte(strings.Repeat(string(rune(seed)), ed25519.SeedSize)))
 }
 
-func trust(keys ...ed25519.PrivateKey) []ed25519.PublicKey {
+func publicKeys(keys ...ed25519.PrivateKey) []ed25519.PublicKey {
 	var list []ed25519.PublicKey
 	for _, key := range keys {
 		list = append(list, key.Public().(ed25519.PublicKey))
@@ -46,7 +46,7 @@
 	return raw
 }
 
-func TestParseNamesLineFieldAndRemedy(t *testing.T) {
+func TestParseErrorNamesLineFieldAndRemedy(t *testing.T) {
 	cases := map[string]struct {
 		change func(string) string
 		want   string
@@ -69,17 +69,17 @@
 	}
 }
 
-func TestAcceptorRefusesEveryBadBundleAndKeepsTheOld(t *testing.T) {
+func TestAcceptorKeepsCurrentBundleOnRefusedOffer(t *testing.T) {
 	is := is.New(t)
-	key, stranger := testKey('k'), testKey('s')
-	acceptor := NewAcceptor(trust(key))
+	key, untrusted := testKey('k'), testKey('s')
+	acceptor := NewAcceptor(publicKeys(key))
 	good := signed(t, 5, key, document("a"))
 	_, err := acceptor.Offer(good)
 	is.NoErr(err)
 	altered := append([]byte(nil), good...)
 	altered[len(altered)/2] ^= 1
 	refusals := map[failure.Kind][][]byte{
-		failure.BadSignature:  {signed(t, 6, stranger, document("a"))},
+		failure.BadSignature:  {signed(t, 6, untrusted, document("a"))},
 		failure.StaleBundle:   {good, signed(t, 4, key, document("a"))},
 		failure.InvalidBundle: {nil, []byte("junk"), make([]byte, MaxSize+1)},
 	}
@@ -95,14 +95,14 @@
 	is.Equal(acceptor.Number(), uint64(5))
 }
 
-func TestAcceptorNumberNeverFalls(t *testing.T) {
+func TestAcceptorNumberNeverDecreases(t *testing.T) {
 	key := testKey('k')
 	var raws [][]byte
 	for number := range 6 {
 		raws = append(raws, signed(t, uint64(number+1), key, document("a")))
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		acceptor := NewAcceptor(trust(key))
+		acceptor := NewAcceptor(publicKeys(key))
 		highest := uint64(0)
 		for range rapid.IntRange(1, 20).Draw(t, "offers") {
 			index := rapid.IntRange(0, len(raws)-1).Draw(t, "index")
@@ -115,10 +115,10 @@
 	})
 }
 
-func TestLeaseLapsesWithoutConfirmation(t *testing.T) {
+func TestLeaseExpiresWithoutConfirmation(t *testing.T) {
 	is := is.New(t)
 	start := time.Unix(1_800_000_000, 0)
-	acceptor := NewAcceptor(trust(testKey('k')))
+	acceptor := NewAcceptor(publicKeys(testKey('k')))
 	_, err := acceptor.Offer(signed(t, 1, testKey('k'), document("a")))
 	is.NoErr(err)
 	is.True(!acceptor.HoldsLease(start)) // never confirmed
@@ -157,7 +157,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			opened, err := Open(raw, trust(key))
+			opened, err := Open(raw, publicKeys(key))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -204,7 +204,7 @@
 	f.Add(signed(f, 1, key, document("a")))
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if opened, err := Open(raw, trust(key)); err == nil && opened.Number == 0 {
+		if opened, err := Open(raw, publicKeys(key)); err == nil && opened.Number == 0 {
 			t.Fatal("a bundle without a number was opened")
 		}
 	})
--- a/internal/bundle/lookup.go
+++ b/internal/bundle/lookup.go
@@ -3,24 +3,24 @@
 import "strings"
 
 // place is a back end's position in the document.
-type place struct {
+type location struct {
 	pool    int
 	backEnd int
 }
 
 // index maps names to positions in the document.
 type index struct {
-	backEnds map[string]place
+	backEnds map[string]location
 	keys     map[string]int
 }
 
 func (c *Content) buildIndex() {
-	c.index = index{backEnds: map[string]place{}, keys: map[string]int{}}
+	c.index = index{backEnds: map[string]location{}, keys: map[string]int{}}
 	for i := range c.Pools {
 		c.Pools[i].memberIDs = nil
 		for j, backEnd := range c.Pools[i].BackEnds {
 			c.Pools[i].memberIDs = append(c.Pools[i].memberIDs, backEnd.ID)
-			c.index.backEnds[backEnd.ID] = place{pool: i, backEnd: j}
+			c.index.backEnds[backEnd.ID] = location{pool: i, backEnd: j}
 		}
 	}
 	for i, tenant := range c.Tenants {
--- a/internal/bundle/owner.go
+++ b/internal/bundle/owner.go
@@ -48,7 +48,7 @@
 	}
 	succession := Succession{StaleUntil: staleUntil(previous, signedAt)}
 	for _, old := range previous.Handovers {
-		if signedAt.Sub(old.Until()) < KeyMemory {
+		if signedAt.Sub(old.Until()) < KeyRetention {
 			succession.Handovers = append(succession.Handovers, old)
 		}
 	}
@@ -78,15 +78,15 @@
 }
 
 // KeyMemory is how long an owner remembers the outcome of a key.
-const KeyMemory = 24 * time.Hour
+const KeyRetention = 24 * time.Hour
 
 // HandoversMissing tells whether next changes a member list of previous without
 // the handover that keeps keys at their owners.
 func HandoversMissing(previous, next *Bundle) bool {
-	needed := SuccessionOf(previous, next.Content, next.SignedAt())
-	for _, handover := range needed.Handovers {
-		covered := slices.ContainsFunc(next.Handovers, func(have Handover) bool {
-			return have.Pool == handover.Pool && slices.Equal(have.Members, handover.Members) && have.UntilMillis >= handover.UntilMillis
+	required := SuccessionOf(previous, next.Content, next.SignedAt())
+	for _, handover := range required.Handovers {
+		covered := slices.ContainsFunc(next.Handovers, func(present Handover) bool {
+			return present.Pool == handover.Pool && slices.Equal(present.Members, handover.Members) && present.UntilMillis >= handover.UntilMillis
 		})
 		if !covered {
 			return true
--- a/internal/bundle/sign.go
+++ b/internal/bundle/sign.go
@@ -94,11 +94,11 @@
 	if header.Number == 0 || header.Identifier == "" {
 		return nil, failure.New(failure.InvalidBundle, "a version needs a number above 0 and an identifier")
 	}
-	plain, err := cbor.Marshal(signedPart{Header: header, Content: source})
+	encoded, err := cbor.Marshal(signedPart{Header: header, Content: source})
 	if err != nil {
 		return nil, failure.Wrap(failure.InvalidBundle, err, "encode")
 	}
-	packed, err := compress(plain)
+	compressed, err := compress(encoded)
 	if err != nil {
 		return nil, failure.Wrap(failure.InvalidBundle, err, "compress")
 	}
@@ -107,8 +107,8 @@
 		return nil, failure.New(failure.InvalidBundle, "the signing key has no Ed25519 public half")
 	}
 	raw, err := cbor.Marshal(envelope{
-		Signed:    packed,
-		Signature: ed25519.Sign(key, signedBytes(packed)),
+		Signed:    compressed,
+		Signature: ed25519.Sign(key, signedBytes(compressed)),
 		KeyID:     KeyID(public),
 	})
 	if err != nil {
@@ -134,12 +134,12 @@
 	if !verified(sealed, trusted) {
 		return nil, failure.New(failure.BadSignature, "no trusted key made the signature; sign with a key listed in trusted_keys")
 	}
-	plain, err := decompress(sealed.Signed)
+	encoded, err := decompress(sealed.Signed)
 	if err != nil {
 		return nil, failure.Wrap(failure.InvalidBundle, err, "decompress")
 	}
 	var part signedPart
-	if err := cbor.Unmarshal(plain, &part); err != nil {
+	if err := cbor.Unmarshal(encoded, &part); err != nil {
 		return nil, failure.Wrap(failure.InvalidBundle, err, "decode")
 	}
 	content, err := Parse("bundle", part.Content)
@@ -159,14 +159,14 @@
 	return false
 }
 
-func signedBytes(packed []byte) []byte {
-	return append([]byte(signatureContext), packed...)
+func signedBytes(compressed []byte) []byte {
+	return append([]byte(signatureContext), compressed...)
 }
 
-func compress(plain []byte) ([]byte, error) {
+func compress(data []byte) ([]byte, error) {
 	var buffer bytes.Buffer
 	writer := gzip.NewWriter(&buffer)
-	if _, err := writer.Write(plain); err != nil {
+	if _, err := writer.Write(data); err != nil {
 		return nil, err
 	}
 	if err := writer.Close(); err != nil {
@@ -176,19 +176,19 @@
 }
 
 // maxPlainSize bounds what a compressed bundle may unpack to, in bytes.
-const maxPlainSize = 16 << 20
+const maxDecompressedSize = 16 << 20
 
-func decompress(packed []byte) ([]byte, error) {
-	reader, err := gzip.NewReader(bytes.NewReader(packed))
+func decompress(compressed []byte) ([]byte, error) {
+	reader, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, err
 	}
-	plain, err := io.ReadAll(io.LimitReader(reader, maxPlainSize+1))
+	data, err := io.ReadAll(io.LimitReader(reader, maxDecompressedSize+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(plain) > maxPlainSize {
+	if len(data) > maxDecompressedSize {
 		return nil, failure.New(failure.InvalidBundle, "the bundle unpacks to over 16 MiB")
 	}
-	return plain, nil
+	return data, nil
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -181,7 +181,7 @@
 	}
 	if found := rollout.Finding; found != nil {
 		if _, err := fmt.Fprintf(output, "  found bad: %d of %d answers %s, %d of %d usual, log of the likelihood ratio %.1f\n",
-			found.Bad, found.Answers, found.What, found.UsualBad, found.UsualAnswers, found.Ratio); err != nil {
+			found.Bad, found.Answers, found.Measure, found.StandingBad, found.StandingAnswers, found.Ratio); err != nil {
 			return err
 		}
 	}
--- a/internal/cli/status_test.go
+++ b/internal/cli/status_test.go
@@ -39,7 +39,7 @@
 		Role: gateway.RoleName, Era: 3,
 		Rollouts: []gateway.RolloutStatus{{
 			Service: "chat", Target: "v2", State: "in_progress", Abandoned: true, Sent: 900, Exposed: 41, AgeSeconds: 4, DurationSeconds: 12,
-			Finding: &rollout.Finding{What: "failed", Bad: 14, Answers: 37, UsualBad: 6, UsualAnswers: 410, Ratio: 11.2},
+			Finding: &rollout.Finding{Measure: "failed", Bad: 14, Answers: 37, StandingBad: 6, StandingAnswers: 410, Ratio: 11.2},
 			Waits:   []rollout.Wait{rollout.WaitStanding},
 			Routes:  []gateway.RolloutRouteStatus{{Route: "r-chat", Share: 0.05, Failed: 14, Answers: 37, StandingFailed: 6, StandingAnswers: 410}},
 		}},
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -27,7 +27,7 @@
 	})
 }
 
-func TestNilClockIsTheMonotonicOne(t *testing.T) {
+func TestNilClockIsMonotonicClock(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var c *Clock
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestSystemClockGoesOn(t *testing.T) {
+func TestSystemClockDoesNotGoBack(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	before := c.Now()
--- a/internal/coordination/gossip.go
+++ b/internal/coordination/gossip.go
@@ -186,7 +186,7 @@
 // message may have waited in a buffer, and a confirmation dated too late would extend the lease
 // beyond its end.
 func (n *Node) noteBundleNumber(message Message) {
-	n.acceptor.Heard(message.Number)
+	n.acceptor.ObserveNumber(message.Number)
 	if message.ConfirmedAgeMillis >= 0 && message.Echo > 0 {
 		age := time.Duration(message.ConfirmedAgeMillis) * time.Millisecond
 		n.acceptor.Confirm(message.Number, n.clock.echoTime(message.Echo).Add(-age))
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -196,7 +196,7 @@
 // may have waited in a buffer, so they are ignored until a peer has answered a message sent since.
 // The bundle number is recorded in any case.
 func (n *Node) piggybackedRecords(now time.Time, event PiggybackedRecords) {
-	n.acceptor.Heard(event.Number)
+	n.acceptor.ObserveNumber(event.Number)
 	if !n.HasFreshContact() {
 		return
 	}
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -41,7 +41,7 @@
 	// side is the version that the next attempt may go to during a rollout, and
 	// rolloutAttempt the rollout judge's record of the current attempt.
 	side           rollout.Side
-	rolloutAttempt *rollout.Run
+	rolloutAttempt *rollout.Attempt
 	// slotReleased is set once the current attempt no longer counts towards the back end's load.
 	slotReleased bool
 	// waitEnded is set once the current attempt no longer waits for the back end.
--- a/internal/dispatch/rollouts.go
+++ b/internal/dispatch/rollouts.go
@@ -95,7 +95,7 @@
 		c.recordRolloutChange(record.Order(), RolloutEnded, nil)
 	}
 	if age > 0 {
-		judge.Hear(now, rollout.Mark{Order: record.Order().ID(), AgeMillis: age.Milliseconds()})
+		judge.MergeMark(now, rollout.Mark{Order: record.Order().ID(), AgeMillis: age.Milliseconds()})
 	}
 }
 
@@ -188,10 +188,10 @@
 		return
 	}
 	if x.attempts+x.failedConnects == 0 {
-		x.side = judge.Side(now, x.request.Route.Name, x.request.ID)
+		x.side = judge.FirstSide(now, x.request.Route.Name, x.request.ID)
 		return
 	}
-	x.side = judge.FurtherSide(now, x.request.Route.Name)
+	x.side = judge.RetrySide(now, x.request.Route.Name)
 }
 
 // fallBackToStanding redirects a request for which the candidate has no room to the standing
@@ -239,7 +239,7 @@
 	if judge == nil || judge.State().IsVerdict() {
 		return
 	}
-	x.rolloutAttempt = judge.Send(now, sideOf(judge, m), rollout.Facts{
+	x.rolloutAttempt = judge.StartAttempt(now, sideOf(judge, m), rollout.AttemptFacts{
 		Route: x.request.Route.Name, BackEnd: m.backEnd.ID, First: len(x.tried) == 1,
 		Stream: x.request.Route.Stream, Cold: now.Before(m.coldUntil) || m.mayHaveRestarted,
 	})
@@ -277,14 +277,14 @@
 		others = append(others, each.Minus(own[each.Key]))
 	}
 	for _, judge := range c.activeJudges() {
-		judge.TakeTotals(now, others, totals.Counted, totals.Expected)
+		judge.SetTallyTotals(now, others, totals.Counted, totals.Expected)
 	}
 }
 
 // SetPeerTallies sets the tallies of one peer in a small fleet.
 func (c *Core) SetPeerTallies(now time.Time, peer string, tallies []rollout.Tally) {
 	for _, judge := range c.activeJudges() {
-		judge.TakePeer(now, peer, tallies)
+		judge.SetPeerTallies(now, peer, tallies)
 	}
 }
 
@@ -306,7 +306,7 @@
 			continue
 		}
 		for _, judge := range c.activeJudges() {
-			if judge.Hear(now, mark) {
+			if judge.MergeMark(now, mark) {
 				c.recordRolloutChange(judge.Order(), RolloutAbandoned, nil)
 				abandoned = true
 			}
@@ -318,7 +318,7 @@
 // EvaluateRollouts evaluates the evidence, and reports whether a candidate was abandoned for it.
 func (c *Core) EvaluateRollouts(now time.Time) (abandoned bool) {
 	for _, judge := range c.activeJudges() {
-		if judge.Look(now) {
+		if judge.Evaluate(now) {
 			c.recordRolloutChange(judge.Order(), RolloutAbandoned, judge.Finding())
 			abandoned = true
 		}
@@ -330,7 +330,7 @@
 func (c *Core) DueRolloutStates(now time.Time) map[string]DueRolloutState {
 	due := map[string]DueRolloutState{}
 	for service, judge := range c.rollouts.byService {
-		due[service] = DueRolloutState{State: judge.Due(now), Age: judge.Age(now)}
+		due[service] = DueRolloutState{State: judge.DueState(now), Age: judge.Age(now)}
 	}
 	return due
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -77,9 +77,9 @@
 			fields["source"] = SourcePeer
 			if found := each.Finding; found != nil {
 				fields["source"] = SourceOwn
-				fields["what"], fields["route"] = found.What, s.routeName(found.Route)
+				fields["what"], fields["route"] = found.Measure, s.routeName(found.Route)
 				fields["bad"], fields["answers"] = found.Bad, found.Answers
-				fields["usual_bad"], fields["usual_answers"] = found.UsualBad, found.UsualAnswers
+				fields["usual_bad"], fields["usual_answers"] = found.StandingBad, found.StandingAnswers
 				fields["likelihood_ratio"] = found.Ratio
 			}
 		case dispatch.RolloutEnded:
--- a/internal/gateway/rolloutstatus.go
+++ b/internal/gateway/rolloutstatus.go
@@ -52,7 +52,7 @@
 		status := RolloutStatus{
 			Service: each.Order.Service, Target: each.Order.Target, State: each.State.String(), Abandoned: each.Abandoned,
 			Finding: each.Finding, AgeSeconds: each.Age.Seconds(), DurationSeconds: each.Order.Duration.Seconds(),
-			Sent: each.Sent, Exposed: each.Exposed, InFlight: each.UnderWay, Waits: each.Awaits, Routes: []RolloutRouteStatus{},
+			Sent: each.Sent, Exposed: each.Exposed, InFlight: each.InFlight, Waits: each.Waits, Routes: []RolloutRouteStatus{},
 		}
 		for _, route := range each.Routes {
 			status.Routes = append(status.Routes, RolloutRouteStatus{
--- a/internal/rollout/crowd_test.go
+++ b/internal/rollout/crowd_test.go
@@ -9,17 +9,17 @@
 
 // crowd is a fleet of judges in front of the back ends of both versions, on a virtual clock
 // that ticks.
-type crowd struct {
+type simulatedFleet struct {
 	random   *rand.Rand
-	plan     drawnRollout
+	scenario scenario
 	judges   []*Judge
-	hearsAt  []int // the tick at which each gateway has heard of the order
-	told     []map[Key]Tally
-	ends     [][]func(now time.Time)
+	learnsAt []int // the tick at which each gateway has heard of the order
+	reported []map[Key]Tally
+	events   [][]func(now time.Time)
 	deadline int
 	// candidateLoad and standingLoad are what is under way.
-	candidateLoad, standingLoad int
-	result                      rolloutResult
+	candidateInFlight, standingInFlight int
+	result                              scenarioResult
 }
 
 // tick is the resolution of the crowd's clock.
@@ -27,15 +27,15 @@
 
 // roundTicks is the time between two rounds of tallies, and lateTicks how old their sums are.
 const (
-	roundTicks = 25
-	newsTicks  = 20
+	exchangeTicks    = 25
+	propagationTicks = 20
 )
 
 // crowdDeadline is how long a caller waits at most.
-const crowdDeadline = 12 * time.Second
+const requestTimeout = 12 * time.Second
 
 // drawnRollout is one roll-out as it was drawn.
-type drawnRollout struct {
+type scenario struct {
 	gateways  int
 	rate      float64
 	duration  time.Duration
@@ -54,16 +54,16 @@
 	startDelay time.Duration
 }
 
-type rolloutResult struct {
+type scenarioResult struct {
 	sent, exposed, bad int
 	// lastExposed is the last send to the candidate after its fiftieth bad answer, from that.
 	fiftieth, lastExposed int
 	verdict               State
 	verdictAt             time.Duration
-	broken                int // requests that the end of the standing back ends cut off
+	cutOff                int // requests that the end of the standing back ends cut off
 }
 
-var crowdRoutes = []struct {
+var simulatedRoutes = []struct {
 	name   string
 	part   float64
 	mean   time.Duration
@@ -74,15 +74,15 @@
 	{"call", 0.3, 60 * time.Millisecond, false},
 }
 
-var crowdLimits = Limits{Share: 0.1, Extra: 50}
+var testLimits = Limits{Share: 0.1, Extra: 50}
 
-func drawRollout(random *rand.Rand, kind string) drawnRollout {
+func drawScenario(random *rand.Rand, kind string) scenario {
 	duration := time.Duration(12+random.IntN(49)) * time.Second
-	d := drawnRollout{
+	d := scenario{
 		kind: kind, gateways: 1 + random.IntN(40), duration: duration, backEnds: 2 + random.IntN(30),
 		rate:     2 * math.Pow(300, random.Float64()),
 		severity: 0.25 + 0.5*random.Float64(),
-		badRoute: random.IntN(len(crowdRoutes)),
+		badRoute: random.IntN(len(simulatedRoutes)),
 		onset:    time.Duration(float64(duration) * 0.5 * random.Float64()),
 		grey:     random.Float64() < 0.2, slow: random.Float64() < 0.2,
 		greySide: Side(random.IntN(2)), slowSide: Side(random.IntN(2)),
@@ -93,18 +93,18 @@
 	return d
 }
 
-func newCrowd(plan drawnRollout, seed uint64) *crowd {
-	c := &crowd{random: rand.New(rand.NewPCG(seed, 1)), plan: plan, deadline: int(plan.duration / tick)}
-	order := Order{Service: "pool", Target: "v2", Duration: plan.duration}
-	for range plan.gateways {
-		j := NewJudge(time.Time{}, order, crowdLimits)
-		j.SetGateways(plan.gateways)
-		c.judges = append(c.judges, j)
-		c.hearsAt = append(c.hearsAt, c.random.IntN(50))
-		c.told = append(c.told, nil)
+func newSimulatedFleet(drawn scenario, seed uint64) *simulatedFleet {
+	f := &simulatedFleet{random: rand.New(rand.NewPCG(seed, 1)), scenario: drawn, deadline: int(drawn.duration / tick)}
+	order := Order{Service: "pool", Target: "v2", Duration: drawn.duration}
+	for range drawn.gateways {
+		j := NewJudge(time.Time{}, order, testLimits)
+		j.SetGateways(drawn.gateways)
+		f.judges = append(f.judges, j)
+		f.learnsAt = append(f.learnsAt, f.random.IntN(50))
+		f.reported = append(f.reported, nil)
 	}
-	c.ends = make([][]func(time.Time), 3*c.deadline+1)
-	return c
+	f.events = make([][]func(time.Time), 3*f.deadline+1)
+	return f
 }
 
 func at(step int) time.Time {
@@ -112,53 +112,53 @@
 }
 
 // run plays the roll-out until a verdict stands, or twice its time.
-func (c *crowd) run() rolloutResult {
+func (f *simulatedFleet) run() scenarioResult {
 	verdictTick, due := 0, Ordered
-	for i := range c.judges {
-		c.judges[i].beganAt = at(c.hearsAt[i])
+	for i := range f.judges {
+		f.judges[i].beganAt = at(f.learnsAt[i])
 	}
-	for step := 0; step < 2*c.deadline; step++ {
+	for step := 0; step < 2*f.deadline; step++ {
 		now := at(step)
-		for _, end := range c.ends[step] {
-			end(now)
+		for _, event := range f.events[step] {
+			event(now)
 		}
-		if step == int(c.plan.startDelay/tick) {
-			for _, j := range c.judges {
+		if step == int(f.scenario.startDelay/tick) {
+			for _, j := range f.judges {
 				j.SetCandidates(now, true)
 			}
 		}
-		c.exchange(step)
+		f.exchange(step)
 		if due == Ordered {
-			due = c.decide(now)
+			due = f.decide(now)
 			verdictTick = step + 2
 		}
 		if due != Ordered && step == verdictTick {
-			c.result.verdict, c.result.verdictAt = due, time.Duration(step)*tick
+			f.result.verdict, f.result.verdictAt = due, time.Duration(step)*tick
 			if due == Completed {
-				c.result.broken = c.standingLoad
+				f.result.cutOff = f.standingInFlight
 			}
 		}
-		if c.result.verdict == Completed || c.result.verdict == Reverted && step >= verdictTick+newsTicks+50 {
+		if f.result.verdict == Completed || f.result.verdict == Reverted && step >= verdictTick+propagationTicks+50 {
 			break
 		}
-		if due != Ordered && step == verdictTick+newsTicks {
-			for _, j := range c.judges {
+		if due != Ordered && step == verdictTick+propagationTicks {
+			for _, j := range f.judges {
 				j.SetState(due)
 			}
 		}
-		c.arrive(step)
+		f.arrive(step)
 	}
-	return c.result
+	return f.result
 }
 
 // decide returns the first verdict that any gateway finds due.
-func (c *crowd) decide(now time.Time) State {
-	for _, j := range c.judges {
+func (f *simulatedFleet) decide(now time.Time) State {
+	for _, j := range f.judges {
 		if now.Before(j.beganAt) {
 			continue
 		}
-		j.Look(now)
-		if due := j.Due(now); due.IsVerdict() {
+		j.Evaluate(now)
+		if due := j.DueState(now); due.IsVerdict() {
 			return due
 		}
 	}
@@ -166,148 +166,148 @@
 }
 
 // exchange gives each gateway the sums of a round ago, and marks as they are.
-func (c *crowd) exchange(step int) {
+func (f *simulatedFleet) exchange(step int) {
 	now := at(step)
-	for i, j := range c.judges {
-		if (step+i)%roundTicks != 0 || step < c.hearsAt[i] {
+	for i, j := range f.judges {
+		if (step+i)%exchangeTicks != 0 || step < f.learnsAt[i] {
 			continue
 		}
 		total := map[Key]Tally{}
 		counted := 1
-		for k, told := range c.told {
-			if k == i || told == nil {
+		for k, tallies := range f.reported {
+			if k == i || tallies == nil {
 				continue
 			}
 			counted++
-			for key, each := range told {
+			for key, each := range tallies {
 				total[key] = each.Plus(total[key])
 			}
 		}
-		j.TakeTotals(now, values(total), counted, len(c.judges))
-		mine := map[Key]Tally{}
+		j.SetTallyTotals(now, sortedTallies(total), counted, len(f.judges))
+		own := map[Key]Tally{}
 		for _, each := range j.Tallies(now) {
-			mine[each.Key] = each
+			own[each.Key] = each
 		}
-		c.told[i] = mine
-		peer := c.judges[c.random.IntN(len(c.judges))]
+		f.reported[i] = own
+		peer := f.judges[f.random.IntN(len(f.judges))]
 		if !now.Before(peer.beganAt) {
-			j.Hear(now, peer.Mark(now))
+			j.MergeMark(now, peer.Mark(now))
 		}
 	}
 }
 
-func (c *crowd) arrive(step int) {
-	arrivals := c.plan.rate * tick.Seconds()
+func (f *simulatedFleet) arrive(step int) {
+	arrivals := f.scenario.rate * tick.Seconds()
 	for n := arrivals; n > 0; n-- {
-		if n < 1 && c.random.Float64() >= n {
+		if n < 1 && f.random.Float64() >= n {
 			break
 		}
-		c.request(step)
+		f.request(step)
 	}
 }
 
-func (c *crowd) request(step int) {
-	route, draw := 0, c.random.Float64()
-	for draw >= crowdRoutes[route].part && route < len(crowdRoutes)-1 {
-		draw -= crowdRoutes[route].part
+func (f *simulatedFleet) request(step int) {
+	route, draw := 0, f.random.Float64()
+	for draw >= simulatedRoutes[route].part && route < len(simulatedRoutes)-1 {
+		draw -= simulatedRoutes[route].part
 		route++
 	}
-	gateway := c.random.IntN(len(c.judges))
-	j := c.judges[gateway]
+	gateway := f.random.IntN(len(f.judges))
+	j := f.judges[gateway]
 	now := at(step)
-	fails := c.random.Float64() < c.plan.pathFailures
-	id := fmt.Sprint(c.random.Uint64())
+	fails := f.random.Float64() < f.scenario.pathFailures
+	id := fmt.Sprint(f.random.Uint64())
 	side := Standing
-	if step >= c.hearsAt[gateway] {
-		side = j.Side(now, crowdRoutes[route].name, id)
+	if step >= f.learnsAt[gateway] {
+		side = j.FirstSide(now, simulatedRoutes[route].name, id)
 	}
-	c.attempt(step, j, route, side, fails, true)
+	f.startAttempt(step, j, route, side, fails, true)
 }
 
 // attempt sends a request and lets it end; one that fails is tried again once.
-func (c *crowd) attempt(step int, j *Judge, route int, side Side, fails, first bool) {
+func (f *simulatedFleet) startAttempt(step int, j *Judge, route int, side Side, fails, first bool) {
 	now := at(step)
-	backEnd := c.random.IntN(c.plan.backEnds)
-	kind := crowdRoutes[route]
-	run := j.Send(now, side, Facts{Route: kind.name, BackEnd: fmt.Sprint(backEnd), First: first, Stream: kind.stream})
-	if step < c.deadline {
-		c.result.sent++
+	backEnd := f.random.IntN(f.scenario.backEnds)
+	kind := simulatedRoutes[route]
+	attempt := j.StartAttempt(now, side, AttemptFacts{Route: kind.name, BackEnd: fmt.Sprint(backEnd), First: first, Stream: kind.stream})
+	if step < f.deadline {
+		f.result.sent++
 	}
-	load := &c.standingLoad
+	inFlight := &f.standingInFlight
 	if side == Candidate {
-		load = &c.candidateLoad
-		if step < c.deadline {
-			c.result.exposed++
+		inFlight = &f.candidateInFlight
+		if step < f.deadline {
+			f.result.exposed++
 		}
-		if c.result.fiftieth > 0 {
-			c.result.lastExposed = step - c.result.fiftieth
+		if f.result.fiftieth > 0 {
+			f.result.lastExposed = step - f.result.fiftieth
 		}
 	}
-	*load++
-	bad, ofVersion, pace := c.treat(step, route, side, backEnd)
-	took := float64(kind.mean) * pace * math.Exp(0.4*c.random.NormFloat64())
-	took = min(took, float64(crowdDeadline))
-	last := min(step+1+int(took/float64(tick)), len(c.ends)-1)
-	head := last
+	*inFlight++
+	bad, versionFault, slowdown := f.outcome(step, route, side, backEnd)
+	took := float64(kind.mean) * slowdown * math.Exp(0.4*f.random.NormFloat64())
+	took = min(took, float64(requestTimeout))
+	endTick := min(step+1+int(took/float64(tick)), len(f.events)-1)
+	answerTick := endTick
 	if kind.stream {
-		head = min(step+2, last)
+		answerTick = min(step+2, endTick)
 	}
 	failed := fails || bad
 	if failed {
-		head, last = step+1, step+1
+		answerTick, endTick = step+1, step+1
 	}
-	if ofVersion {
-		c.noteBad(last)
+	if versionFault {
+		f.countBad(endTick)
 	}
-	c.ends[head] = append(c.ends[head], func(now time.Time) {
+	f.events[answerTick] = append(f.events[answerTick], func(now time.Time) {
 		if failed {
-			run.Failed(now)
+			attempt.Failed(now)
 			return
 		}
-		run.Answered(now)
+		attempt.Answered(now)
 	})
-	c.ends[last] = append(c.ends[last], func(now time.Time) {
-		*load--
-		run.End(now, !failed)
-		if failed && first && last+1 < len(c.ends) {
-			c.attempt(last, j, route, j.FurtherSide(now, kind.name), fails, false)
+	f.events[endTick] = append(f.events[endTick], func(now time.Time) {
+		*inFlight--
+		attempt.End(now, !failed)
+		if failed && first && endTick+1 < len(f.events) {
+			f.startAttempt(endTick, j, route, j.RetrySide(now, kind.name), fails, false)
 		}
 	})
 }
 
-func (c *crowd) noteBad(step int) {
-	c.result.bad++
-	if c.result.bad == 50 {
-		c.result.fiftieth = step
+func (f *simulatedFleet) countBad(step int) {
+	f.result.bad++
+	if f.result.bad == 50 {
+		f.result.fiftieth = step
 	}
 }
 
 // treat tells whether the back end fails the request, whether its version is to blame for a bad
 // answer, which one machine's failures aren't, and how many times as long it takes.
-func (c *crowd) treat(step, route int, side Side, backEnd int) (bad, ofVersion bool, pace float64) {
-	pace = 1
-	if c.plan.grey && side == c.plan.greySide && backEnd == 0 && c.random.Float64() < 0.4 {
+func (f *simulatedFleet) outcome(step, route int, side Side, backEnd int) (bad, versionFault bool, slowdown float64) {
+	slowdown = 1
+	if f.scenario.grey && side == f.scenario.greySide && backEnd == 0 && f.random.Float64() < 0.4 {
 		return true, false, 1
 	}
-	if c.plan.slow && side == c.plan.slowSide && backEnd == c.plan.backEnds-1 {
-		pace = 6
+	if f.scenario.slow && side == f.scenario.slowSide && backEnd == f.scenario.backEnds-1 {
+		slowdown = 6
 	}
 	if side != Candidate {
-		return false, false, pace
+		return false, false, slowdown
 	}
 	active := false
-	switch c.plan.kind {
+	switch f.scenario.kind {
 	case "at once":
 		active = true
 	case "later":
-		active = time.Duration(step)*tick >= c.plan.onset
+		active = time.Duration(step)*tick >= f.scenario.onset
 	case "on one route":
-		active = route == c.plan.badRoute
+		active = route == f.scenario.badRoute
 	case "under load":
-		active = float64(c.candidateLoad) > c.plan.loadLimit*float64(c.candidateLoad+c.standingLoad)
+		active = float64(f.candidateInFlight) > f.scenario.loadLimit*float64(f.candidateInFlight+f.standingInFlight)
 	case "slow":
-		return false, true, pace * (3 + 4*c.plan.severity)
+		return false, true, slowdown * (3 + 4*f.scenario.severity)
 	}
-	bad = active && c.random.Float64() < c.plan.severity
-	return bad, bad, pace
+	bad = active && f.random.Float64() < f.scenario.severity
+	return bad, bad, slowdown
 }
--- a/internal/rollout/crowdtable_test.go
+++ b/internal/rollout/crowdtable_test.go
@@ -11,34 +11,34 @@
 	_ "github.com/harriernotch/harriernotch/internal/fixedseed"
 )
 
-var crowdRuns = flag.Int("rollouts", 25, "roll-outs of each kind that TestDrawnRollouts plays")
+var scenarioRuns = flag.Int("rollouts", 25, "roll-outs of each kind that TestDrawnRollouts plays")
 
 // kindResult sums up the roll-outs of one kind.
-type kindResult struct {
-	runs, exposed, late50, completed, completedBad, reverted, onTime, broken int
-	shares                                                                   []float64
-	revertAfter                                                              []time.Duration
+type kindSummary struct {
+	runs, overExposed, exposedLate, completed, completedBad, reverted, onTime, cutOff int
+	shares                                                                            []float64
+	revertAfter                                                                       []time.Duration
 }
 
 // TestDrawnRollouts plays drawn roll-outs of each kind: none may expose more than the limits
 // allow, nor send on long after the fiftieth bad answer, nor complete a version that gave fifty;
 // no good one may be reverted. A bad version that gave fewer may be completed: it can't be told
 // from a good one within the exposure.
-func TestDrawnRollouts(t *testing.T) {
+func TestRandomRolloutsKeepExposureAndVerdict(t *testing.T) {
 	for _, kind := range []string{"good", "at once", "later", "on one route", "under load", "slow"} {
-		sum := playKind(t, kind, *crowdRuns)
+		sum := runScenarios(t, kind, *scenarioRuns)
 		t.Logf("%-13s runs %d: over the exposure %d, later than 5 s after the fiftieth %d, completed %d, reverted %d, by the deadline %d, streams cut %d, exposure median %.3f worst %.3f, reverted after median %v",
-			kind, sum.runs, sum.exposed, sum.late50, sum.completed, sum.reverted, sum.onTime, sum.broken,
+			kind, sum.runs, sum.overExposed, sum.exposedLate, sum.completed, sum.reverted, sum.onTime, sum.cutOff,
 			quantile(sum.shares, 0.5), quantile(sum.shares, 1), quantile(sum.revertAfter, 0.5))
-		if sum.exposed+sum.late50+sum.completedBad+sum.broken > 0 || kind == "good" && sum.reverted > 0 {
-			t.Errorf("%s: %d over the exposure, %d late, %d found bad and completed, %d streams cut, %d reverted", kind, sum.exposed, sum.late50, sum.completedBad, sum.broken, sum.reverted)
+		if sum.overExposed+sum.exposedLate+sum.completedBad+sum.cutOff > 0 || kind == "good" && sum.reverted > 0 {
+			t.Errorf("%s: %d over the exposure, %d late, %d found bad and completed, %d streams cut, %d reverted", kind, sum.overExposed, sum.exposedLate, sum.completedBad, sum.cutOff, sum.reverted)
 		}
 	}
 }
 
-func playKind(t *testing.T, kind string, runs int) kindResult {
+func runScenarios(t *testing.T, kind string, runs int) kindSummary {
 	var mutex sync.Mutex
-	var sum kindResult
+	var sum kindSummary
 	var workers sync.WaitGroup
 	next := make(chan uint64)
 	for range 12 {
@@ -46,11 +46,11 @@
 		go func() {
 			defer workers.Done()
 			for seed := range next {
-				plan := drawRollout(rand.New(rand.NewPCG(seed, 7)), kind)
-				result := newCrowd(plan, seed).run()
+				drawn := drawScenario(rand.New(rand.NewPCG(seed, 7)), kind)
+				result := newSimulatedFleet(drawn, seed).run()
 				mutex.Lock()
-				if over := sum.add(plan, result); over != "" {
-					t.Logf("seed %d: %s: %+v %+v", seed, over, plan, result)
+				if remark := sum.add(drawn, result); remark != "" {
+					t.Logf("seed %d: %s: %+v %+v", seed, remark, drawn, result)
 				}
 				mutex.Unlock()
 			}
@@ -64,28 +64,28 @@
 	return sum
 }
 
-func (k *kindResult) add(plan drawnRollout, result rolloutResult) (finding string) {
+func (k *kindSummary) add(drawn scenario, result scenarioResult) (remark string) {
 	k.runs++
-	isBad := plan.kind != "good"
-	allowed := crowdLimits.Share*float64(result.sent) + crowdLimits.Extra
+	isBad := drawn.kind != "good"
+	allowed := testLimits.Share*float64(result.sent) + testLimits.Extra
 	// A bad version that never showed it, for want of load, was a good one.
 	shownBad := isBad && result.bad >= 10
 	if isBad {
 		k.shares = append(k.shares, float64(result.exposed)/allowed)
 		if shownBad && float64(result.exposed) > allowed {
-			k.exposed++
-			finding = "over the exposure"
+			k.overExposed++
+			remark = "over the exposure"
 		}
 		if result.lastExposed > int(5*time.Second/tick) {
-			k.late50++
-			finding = "late after the fiftieth"
+			k.exposedLate++
+			remark = "late after the fiftieth"
 		}
 	}
 	switch result.verdict {
 	case Completed:
 		k.completed++
 		if shownBad {
-			finding += " bad one completed"
+			remark += " bad one completed"
 		}
 		if isBad && result.fiftieth > 0 {
 			k.completedBad++
@@ -94,16 +94,16 @@
 		k.reverted++
 		k.revertAfter = append(k.revertAfter, result.verdictAt)
 		if !isBad {
-			finding += " good one reverted"
+			remark += " good one reverted"
 		}
 	}
-	if result.verdict.IsVerdict() && result.verdictAt <= plan.duration {
+	if result.verdict.IsVerdict() && result.verdictAt <= drawn.duration {
 		k.onTime++
 	} else {
-		finding += " late"
+		remark += " late"
 	}
-	k.broken += result.broken
-	return finding
+	k.cutOff += result.cutOff
+	return remark
 }
 
 func quantile[T int | float64 | time.Duration](list []T, part float64) T {
--- a/internal/rollout/judge_test.go
+++ b/internal/rollout/judge_test.go
@@ -14,7 +14,7 @@
 var start = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newJudge(gateways int) *Judge {
-	j := NewJudge(start, Order{Service: "s", Target: "v2", Duration: 12 * time.Second}, crowdLimits)
+	j := NewJudge(start, Order{Service: "s", Target: "v2", Duration: 12 * time.Second}, testLimits)
 	j.SetGateways(gateways)
 	j.SetCandidates(start, true)
 	return j
@@ -22,7 +22,7 @@
 
 // Whatever the number of gateways, between which nobody hears of anybody: all together keep the
 // exposure, also where each of them sees a request every few seconds.
-func TestGatewaysThatHearNobodyKeepTheExposure(t *testing.T) {
+func TestExposureLimitHoldsWithoutPeerTallies(t *testing.T) {
 	for _, gateways := range []int{1, 7, 357, 1000} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			is := is.New(t)
@@ -34,94 +34,94 @@
 				exposed := 0
 				for i := range requests {
 					now := start.Add(12 * time.Second * time.Duration(i) / time.Duration(requests))
-					if judges[i%gateways].Side(now, "r", fmt.Sprint("request ", i)) == Candidate {
+					if judges[i%gateways].FirstSide(now, "r", fmt.Sprint("request ", i)) == Candidate {
 						exposed++
 					}
 				}
-				is.True(float64(exposed) <= crowdLimits.Share*float64(requests)+crowdLimits.Extra)
+				is.True(float64(exposed) <= testLimits.Share*float64(requests)+testLimits.Extra)
 			}
 		})
 	}
 }
 
 // A candidate that any gateway found bad gets nothing more anywhere, and there is no way back.
-func TestAbandonedCandidateGetsNothing(t *testing.T) {
+func TestAbandonedCandidateGetsNoRequests(t *testing.T) {
 	is := is.New(t)
 	one, other := newJudge(2), newJudge(2)
 	one.abandoned = true
-	is.True(other.Hear(start.Add(time.Second), one.Mark(start.Add(time.Second))))
-	is.True(!other.Hear(start.Add(time.Second), one.Mark(start.Add(time.Second))))
-	other.Hear(start, newJudge(2).Mark(start))
+	is.True(other.MergeMark(start.Add(time.Second), one.Mark(start.Add(time.Second))))
+	is.True(!other.MergeMark(start.Add(time.Second), one.Mark(start.Add(time.Second))))
+	other.MergeMark(start, newJudge(2).Mark(start))
 	is.True(!other.Allows(Candidate))
 	for i := range 100 {
-		is.Equal(other.Side(start.Add(11*time.Second), "r", fmt.Sprint(i)), Standing)
+		is.Equal(other.FirstSide(start.Add(11*time.Second), "r", fmt.Sprint(i)), Standing)
 	}
-	is.Equal(other.Due(start.Add(2*time.Second)), Reverted)
+	is.Equal(other.DueState(start.Add(2*time.Second)), Reverted)
 }
 
 // The verdict that stands is everybody's, whatever a gateway found itself.
-func TestVerdictInTheStoreBinds(t *testing.T) {
+func TestStoredVerdictIsFinal(t *testing.T) {
 	is := is.New(t)
 	j := newJudge(1)
 	j.abandoned = true
 	j.SetState(Completed)
-	is.Equal(j.Due(start), Completed)
+	is.Equal(j.DueState(start), Completed)
 	is.True(!j.Allows(Standing))
 	j.SetState(InProgress) // a stale word
 	is.Equal(j.State(), Completed)
 }
 
 // An order is as old as the gateway that knows it longest says.
-func TestOrdersKeepTheirAge(t *testing.T) {
+func TestMarksPropagateOldestOrderAge(t *testing.T) {
 	is := is.New(t)
 	old, young := newJudge(2), newJudge(2)
 	young.beganAt = start.Add(5 * time.Second)
 	now := start.Add(6 * time.Second)
-	young.Hear(now, old.Mark(now))
+	young.MergeMark(now, old.Mark(now))
 	is.Equal(young.Age(now), 6*time.Second)
-	old.Hear(now, young.Mark(now))
+	old.MergeMark(now, young.Mark(now))
 	is.Equal(old.Age(now), 6*time.Second)
-	old.Hear(now, Mark{Order: 1, AgeMillis: 1e12})
+	old.MergeMark(now, Mark{Order: 1, AgeMillis: 1e12})
 	is.Equal(old.Age(now), 6*time.Second)
 }
 
 // The standing back ends are stopped by the verdict: it waits for what runs there.
-func TestCompletionWaitsForTheStandingVersion(t *testing.T) {
+func TestCompletionWaitsForRequestsAtStandingVersion(t *testing.T) {
 	is := is.New(t)
 	j := newJudge(1)
-	run := j.Send(start, Standing, Facts{Route: "r", BackEnd: "a", First: true, Stream: true})
+	attempt := j.StartAttempt(start, Standing, AttemptFacts{Route: "r", BackEnd: "a", First: true, Stream: true})
 	late := start.Add(20 * time.Second)
-	j.Look(late)
-	is.Equal(j.Due(late), InProgress)
-	is.Equal(j.Awaits(late), []Wait{WaitStanding})
-	run.End(late, true)
-	is.Equal(j.Due(late), Completed)
+	j.Evaluate(late)
+	is.Equal(j.DueState(late), InProgress)
+	is.Equal(j.Waits(late), []Wait{WaitStanding})
+	attempt.End(late, true)
+	is.Equal(j.DueState(late), Completed)
 }
 
 // What machines do says nothing of a version: one group that fails isn't judged by, on either
 // side, and answers that never came aren't counted.
-func TestOneMachineIsNotTheVersion(t *testing.T) {
+func TestOneFailingBackEndIsNoFinding(t *testing.T) {
 	is := is.New(t)
 	j := newJudge(1)
 	for i := range 400 {
 		side, backEnd := Side(i%2), fmt.Sprint("b", i%12)
-		run := j.Send(start, side, Facts{Route: "r", BackEnd: backEnd, First: true})
+		attempt := j.StartAttempt(start, side, AttemptFacts{Route: "r", BackEnd: backEnd, First: true})
 		if side == Candidate && backEnd == "b3" {
-			run.Failed(start.Add(50 * time.Millisecond))
+			attempt.Failed(start.Add(50 * time.Millisecond))
 		} else if i%5 == 0 {
-			run.End(start.Add(time.Second), false) // broke off
+			attempt.End(start.Add(time.Second), false) // broke off
 			continue
 		} else {
-			run.Answered(start.Add(50 * time.Millisecond))
+			attempt.Answered(start.Add(50 * time.Millisecond))
 		}
-		run.End(start.Add(50*time.Millisecond), true)
+		attempt.End(start.Add(50*time.Millisecond), true)
 	}
-	is.True(!j.Look(start.Add(3 * time.Second)))
+	is.True(!j.Evaluate(start.Add(3 * time.Second)))
 	is.True(!j.isDoubtful())
 }
 
 // Tallies of other builds, or of other orders, are passed over.
-func TestStrangeTalliesArePassedOver(t *testing.T) {
+func TestUnknownTalliesDoNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j := newJudge(3)
 		var tallies []Tally
@@ -132,43 +132,43 @@
 				Timed: rapid.Uint32().Draw(t, "timed"), Slow: rapid.Uint32().Draw(t, "slow"),
 			})
 		}
-		j.TakeTotals(start, tallies, 3, 3)
-		j.Look(start.Add(time.Second))
+		j.SetTallyTotals(start, tallies, 3, 3)
+		j.Evaluate(start.Add(time.Second))
 		j.Report(start.Add(time.Second))
 	})
 }
 
 // A gateway that starts after an order's time, and has heard of nobody yet, knows nothing of the
 // candidate: it must see it tried before it may say that all is well.
-func TestGatewayThatStartsLateCompletesNothingUntried(t *testing.T) {
+func TestLateGatewayWaitsForProbation(t *testing.T) {
 	is := is.New(t)
 	began := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	order := Order{Service: "pool", Target: "v2", Duration: 12 * time.Second}
 	started := began.Add(order.Duration + 4*time.Second)
 	j := NewJudge(started, order, Limits{Share: 0.1, Extra: 50})
-	j.Hear(started, Mark{Order: order.ID(), AgeMillis: started.Sub(began).Milliseconds()})
+	j.MergeMark(started, Mark{Order: order.ID(), AgeMillis: started.Sub(began).Milliseconds()})
 	j.SetCandidates(started, true)
-	is.Equal(j.Due(started), InProgress)
-	is.Equal(j.Awaits(started), []Wait{WaitRoutes})
-	tried := started.Add(order.Duration/probationPart + j.rampTime() + leastRamp)
-	is.Equal(j.Due(tried.Add(-time.Millisecond)), InProgress)
-	is.Equal(j.Due(tried), Completed) // nobody asks for the service, and nobody knows otherwise
+	is.Equal(j.DueState(started), InProgress)
+	is.Equal(j.Waits(started), []Wait{WaitRoutes})
+	tried := started.Add(order.Duration/probationDivisor + j.rampTime() + minRamp)
+	is.Equal(j.DueState(tried.Add(-time.Millisecond)), InProgress)
+	is.Equal(j.DueState(tried), Completed) // nobody asks for the service, and nobody knows otherwise
 }
 
 // answer lets one attempt end at once.
-func (j *Judge) answer(at time.Time, side Side, backEnd int, fails bool) {
-	run := j.Send(at, side, Facts{Route: "r", BackEnd: fmt.Sprint("b", backEnd), First: true})
+func (j *Judge) recordAttempt(at time.Time, side Side, backEnd int, fails bool) {
+	attempt := j.StartAttempt(at, side, AttemptFacts{Route: "r", BackEnd: fmt.Sprint("b", backEnd), First: true})
 	if fails {
-		run.Failed(at)
+		attempt.Failed(at)
 	} else {
-		run.Answered(at)
+		attempt.Answered(at)
 	}
-	run.End(at, true)
+	attempt.End(at, true)
 }
 
 // While its service is in trouble, of whatever version, a bad version can't be told from it. That
 // must not excuse it later: none that fails six in ten gets more, or is completed.
-func TestTroubleOfTheServiceExcusesNoBadVersion(t *testing.T) {
+func TestBadCandidateIsRevertedAfterServiceTrouble(t *testing.T) {
 	for name, standingRecovers := range map[string]bool{"standing one recovers": true, "standing one gets nothing more": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -179,31 +179,31 @@
 				inTrouble := second < 8
 				for i := range perSecond {
 					if inTrouble || standingRecovers {
-						j.answer(at, Standing, i%8, inTrouble && i%4 != 0)
+						j.recordAttempt(at, Standing, i%8, inTrouble && i%4 != 0)
 					}
-					j.answer(at, Candidate, i%8, i%5 < 3)
+					j.recordAttempt(at, Candidate, i%8, i%5 < 3)
 				}
-				j.Look(at.Add(900 * time.Millisecond))
+				j.Evaluate(at.Add(900 * time.Millisecond))
 			}
 			late := start.Add(11900 * time.Millisecond)
 			is.True(j.isDoubtful() || j.abandoned)
-			is.Equal(j.Due(late), Reverted)
+			is.Equal(j.DueState(late), Reverted)
 		})
 	}
 }
 
 // A version that answers well goes on, though its service had trouble before.
-func TestTroubleOfTheServiceIsNotHeldAgainstAGoodVersion(t *testing.T) {
+func TestGoodCandidateIsNotBlamedForServiceTrouble(t *testing.T) {
 	is := is.New(t)
 	j := newJudge(1)
 	for second := range 11 {
 		at := start.Add(time.Duration(second) * time.Second)
 		for i := range 50 {
 			fails := second < 6 && i%4 != 0
-			j.answer(at, Standing, i%8, fails)
-			j.answer(at, Candidate, i%8, fails)
+			j.recordAttempt(at, Standing, i%8, fails)
+			j.recordAttempt(at, Candidate, i%8, fails)
 		}
-		j.Look(at.Add(900 * time.Millisecond))
+		j.Evaluate(at.Add(900 * time.Millisecond))
 	}
 	is.True(!j.abandoned)
 	is.True(!j.isDoubtful())
--- a/internal/rollout/others.go
+++ b/internal/rollout/others.go
@@ -4,14 +4,14 @@
 
 const (
 	// freshTallies is the age to which others' tallies count: several of their periods.
-	freshTallies = 1500 * time.Millisecond
+	maxTallyAge = 1500 * time.Millisecond
 	// heardThirds is the part of the fleet, in thirds, that must be heard to judge for all.
-	heardThirds = 2
+	quorumThirds = 2
 )
 
 // others holds what the other gateways have counted: each one's own in a small fleet, their
 // sums in a large one.
-type others struct {
+type remoteTallies struct {
 	gateways int
 	peers    map[string]peerTallies
 	totals   []Tally
@@ -25,46 +25,48 @@
 	tallies []Tally
 }
 
-func newOthers() others { return others{gateways: 1, peers: map[string]peerTallies{}} }
+func newRemoteTallies() remoteTallies {
+	return remoteTallies{gateways: 1, peers: map[string]peerTallies{}}
+}
 
-func (o *others) takeTotals(now time.Time, tallies []Tally, counted, expected int) {
-	o.totals, o.totalsAt = tallies, now
-	o.counted, o.expected = counted, expected
+func (r *remoteTallies) setTotals(now time.Time, tallies []Tally, counted, expected int) {
+	r.totals, r.totalsAt = tallies, now
+	r.counted, r.expected = counted, expected
 }
 
-func (o *others) takePeer(now time.Time, peer string, tallies []Tally) {
-	o.peers[peer] = peerTallies{at: now, tallies: tallies}
+func (r *remoteTallies) setPeer(now time.Time, peer string, tallies []Tally) {
+	r.peers[peer] = peerTallies{at: now, tallies: tallies}
 }
 
-func (o *others) totalsAreFresh(now time.Time) bool {
-	return !o.totalsAt.IsZero() && now.Sub(o.totalsAt) <= freshTallies
+func (r *remoteTallies) totalsAreFresh(now time.Time) bool {
+	return !r.totalsAt.IsZero() && now.Sub(r.totalsAt) <= maxTallyAge
 }
 
 // heard tells whether enough of the other gateways are heard.
-func (o *others) heard(now time.Time) bool {
-	if o.totalsAreFresh(now) {
-		return 3*o.counted >= heardThirds*max(o.expected, o.gateways)
+func (r *remoteTallies) hasQuorum(now time.Time) bool {
+	if r.totalsAreFresh(now) {
+		return 3*r.counted >= quorumThirds*max(r.expected, r.gateways)
 	}
-	heard := 1
-	for _, each := range o.peers {
-		if now.Sub(each.at) <= freshTallies {
-			heard++
+	reporting := 1
+	for _, each := range r.peers {
+		if now.Sub(each.at) <= maxTallyAge {
+			reporting++
 		}
 	}
-	return 3*heard >= heardThirds*o.gateways
+	return 3*reporting >= quorumThirds*r.gateways
 }
 
 // sum adds up what is fresh.
-func (o *others) sum(now time.Time) map[Key]Tally {
-	sum := map[Key]Tally{}
-	if o.totalsAreFresh(now) {
-		addTo(sum, o.totals)
-		return sum
+func (r *remoteTallies) sum(now time.Time) map[Key]Tally {
+	total := map[Key]Tally{}
+	if r.totalsAreFresh(now) {
+		addTallies(total, r.totals)
+		return total
 	}
-	for _, peer := range o.peers {
-		if now.Sub(peer.at) <= freshTallies {
-			addTo(sum, peer.tallies)
+	for _, peer := range r.peers {
+		if now.Sub(peer.at) <= maxTallyAge {
+			addTallies(total, peer.tallies)
 		}
 	}
-	return sum
+	return total
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -14,13 +14,13 @@
 const (
 	// finishPart is the part of the time, as one in so many, kept for writing the verdict, from
 	// leastFinish: a call that gets no answer is made again within it.
-	finishPart  = 12
-	leastFinish = time.Second
+	finishDivisor = 12
+	minFinish     = time.Second
 	// rampShare is what a route gives the candidate for rampPart of the time, from leastRamp:
 	// answers, and two rounds of tallies, fit into it.
-	rampShare = 0.25
-	rampPart  = 14
-	leastRamp = 800 * time.Millisecond
+	rampShare   = 0.25
+	rampDivisor = 14
+	minRamp     = 800 * time.Millisecond
 	// drainDeviations is how many standard deviations above the mean time of a route's requests,
 	// with drainExtra more, let those that run at the standing version end: 1 in 150 of
 	// exponentially spread times takes longer, and is waited for.
@@ -28,46 +28,46 @@
 	drainExtra      = 300 * time.Millisecond
 	// longestDrainTenths bounds that, in tenths of the time; unknownDrain tenths are taken for a
 	// route whose requests haven't ended yet.
-	longestDrainTenths = 4
+	maxDrainTenths     = 4
 	unknownDrainTenths = 3
 	// probationPart is the part of the time, as one in so many, for which a candidate is
 	// tried at least, whenever its back ends appear.
-	probationPart = 10
+	probationDivisor = 10
 	// canarySpend is the part of the allowed exposure that is spent on the first evidence. The
 	// rest covers the moves until they are judged; a lot also falls unevenly.
-	canarySpend = 0.5
+	canaryFraction = 0.5
 	// mostCanary keeps as many requests at the standing version to compare with.
-	mostCanary = 0.5
+	maxCanaryShare = 0.5
 	// settledTime is the time from which the rate of requests is known well enough.
-	settledTime = 500 * time.Millisecond
+	rateSettleTime = 500 * time.Millisecond
 )
 
 // part returns one in so many of the order's time, bounded.
-func (j *Judge) part(oneIn int, least time.Duration) time.Duration {
-	whole := j.order.Duration
-	return min(max(whole/time.Duration(oneIn), least), whole/4)
+func (j *Judge) fraction(divisor int, least time.Duration) time.Duration {
+	duration := j.order.Duration
+	return min(max(duration/time.Duration(divisor), least), duration/4)
 }
 
 // completeAt is the time after the order at which a good candidate's verdict is written.
 func (j *Judge) completeAt() time.Duration {
-	return j.order.Duration - j.part(finishPart, leastFinish)
+	return j.order.Duration - j.fraction(finishDivisor, minFinish)
 }
 
 // fullAt is the time after the order from which a route's requests all go to the candidate.
 func (j *Judge) fullAt(route uint32) time.Duration {
 	drain := j.order.Duration * unknownDrainTenths / 10
-	if longest, known := j.longestWhole(route); known {
-		drain = min(longest+drainExtra, j.order.Duration*longestDrainTenths/10)
+	if bound, known := j.requestTimeBound(route); known {
+		drain = min(bound+drainExtra, j.order.Duration*maxDrainTenths/10)
 	}
-	return max(j.completeAt()-drain, j.triedAt()+j.rampTime())
+	return max(j.completeAt()-drain, j.probationEnd()+j.rampTime())
 }
 
-func (j *Judge) rampTime() time.Duration { return j.part(rampPart, leastRamp) }
+func (j *Judge) rampTime() time.Duration { return j.fraction(rampDivisor, minRamp) }
 
 // triedAt is the time after the order from which the candidate has been tried for long enough
 // to get more.
-func (j *Judge) triedAt() time.Duration {
-	return j.candidateSince.Sub(j.beganAt) + j.order.Duration/probationPart
+func (j *Judge) probationEnd() time.Duration {
+	return j.candidateSince.Sub(j.beganAt) + j.order.Duration/probationDivisor
 }
 
 // share returns the part of the route's requests that go to the candidate.
@@ -77,31 +77,31 @@
 		return 1
 	case j.state == Reverted || j.abandoned || !j.HasCandidates():
 		return 0
-	case !j.hears(now):
+	case !j.hasQuorum(now):
 		// Alone, a gateway sees too little to give more.
-		return canarySpend * j.limits.Share
+		return canaryFraction * j.limits.Share
 	}
 	elapsed := now.Sub(j.beganAt)
 	full := j.fullAt(route)
 	switch {
 	case j.isDoubtful():
-		return j.canary(elapsed)
+		return j.canaryShare(elapsed)
 	case elapsed >= full:
 		return 1
 	case elapsed >= full-j.rampTime():
-		return max(rampShare, j.canary(elapsed))
+		return max(rampShare, j.canaryShare(elapsed))
 	default:
-		return j.canary(elapsed)
+		return j.canaryShare(elapsed)
 	}
 }
 
 // canary returns the share for the first evidence: a part of what the limits allow over the
 // whole time, at the rate so far.
-func (j *Judge) canary(elapsed time.Duration) float64 {
+func (j *Judge) canaryShare(elapsed time.Duration) float64 {
 	allowed := j.limits.Share
-	if sent := j.sent(); elapsed >= settledTime && sent > 0 {
+	if sent := j.totalSent(); elapsed >= rateSettleTime && sent > 0 {
 		expected := max(sent, sent*j.order.Duration.Seconds()/elapsed.Seconds())
 		allowed += j.limits.Extra / expected
 	}
-	return min(canarySpend*allowed, mostCanary)
+	return min(canaryFraction*allowed, maxCanaryShare)
 }
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -20,9 +20,9 @@
 	Sent    int
 	Exposed int
 	// UnderWay are those that run at the standing version.
-	UnderWay int
+	InFlight int
 	// Awaits is what must be before the order is completed.
-	Awaits []Wait
+	Waits []Wait
 	// Routes are those with requests, by key.
 	Routes []RouteReport
 }
@@ -51,10 +51,10 @@
 		Order: j.order, Age: j.Age(now), State: j.state, Abandoned: j.abandoned, Finding: j.finding,
 	}
 	if !j.state.IsVerdict() {
-		report.Awaits = j.Awaits(now)
+		report.Waits = j.Waits(now)
 	}
 	routes := map[uint32]*RouteReport{}
-	for _, each := range values(j.latest()) {
+	for _, each := range sortedTallies(j.latestTallies()) {
 		route := routes[each.Key.Route]
 		if route == nil {
 			route = &RouteReport{Route: each.Key.Route, Share: j.share(now, each.Key.Route), Doubt: j.doubts[each.Key.Route]}
@@ -65,7 +65,7 @@
 			report.Exposed += int(each.Sent)
 			route.Candidate = each.Plus(route.Candidate)
 		} else {
-			report.UnderWay += int(each.UnderWay)
+			report.InFlight += int(each.InFlight)
 			route.Standing = each.Plus(route.Standing)
 		}
 	}
--- a/internal/rollout/run.go
+++ b/internal/rollout/run.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Facts are what the judge needs to know of an attempt.
-type Facts struct {
+type AttemptFacts struct {
 	// Route names the request's route, and BackEnd its target.
 	Route   string
 	BackEnd string
@@ -17,16 +17,16 @@
 }
 
 // Run is one attempt on its way.
-type Run struct {
+type Attempt struct {
 	judge  *Judge
 	key    Key
-	facts  Facts
+	facts  AttemptFacts
 	sentAt time.Time
 	// workAt is when the work began whose pace is judged: for a stream its first event, which
 	// comes late where a prompt must be read that the standing version has cached.
-	workAt time.Time
-	paced  bool
-	ended  bool
+	processingSince time.Time
+	timed           bool
+	ended           bool
 }
 
 const (
@@ -39,88 +39,88 @@
 )
 
 // Send notes an attempt.
-func (j *Judge) Send(now time.Time, side Side, facts Facts) *Run {
+func (j *Judge) StartAttempt(now time.Time, side Side, facts AttemptFacts) *Attempt {
 	key := Key{Order: j.id, Route: RouteKey(facts.Route), Group: groupOf(side, facts.BackEnd)}
-	run := &Run{judge: j, key: key, facts: facts, sentAt: now}
+	attempt := &Attempt{judge: j, key: key, facts: facts, sentAt: now}
 	if !facts.Stream {
-		run.workAt = now
+		attempt.processingSince = now
 	}
 	tally := j.tally(key)
 	tally.Sent++
-	tally.UnderWay++
-	j.runs[run] = struct{}{}
-	return run
+	tally.InFlight++
+	j.attempts[attempt] = struct{}{}
+	return attempt
 }
 
 // Failed notes an answer that reports a failure of the back end's own.
-func (r *Run) Failed(now time.Time) { r.answered(now, true) }
+func (a *Attempt) Failed(now time.Time) { a.recordAnswer(now, true) }
 
 // Answered notes the beginning of an answer that can be passed on.
-func (r *Run) Answered(now time.Time) { r.answered(now, false) }
+func (a *Attempt) Answered(now time.Time) { a.recordAnswer(now, false) }
 
-func (r *Run) answered(now time.Time, failed bool) {
-	if r == nil || r.ended || !r.facts.First {
+func (a *Attempt) recordAnswer(now time.Time, failed bool) {
+	if a == nil || a.ended || !a.facts.First {
 		return
 	}
-	tally := r.judge.tally(r.key)
+	tally := a.judge.tally(a.key)
 	tally.Answers++
 	if failed {
 		tally.Failed++
-		r.paced = true // how fast a failure comes says nothing
+		a.timed = true // how fast a failure comes says nothing
 		return
 	}
-	if r.facts.Stream {
-		r.workAt = now
+	if a.facts.Stream {
+		a.processingSince = now
 		return
 	}
-	r.pace(now)
+	a.recordTime(now)
 }
 
 // End notes that the attempt ended; whole is true for a whole answer.
-func (r *Run) End(now time.Time, whole bool) {
-	if r == nil || r.ended {
+func (a *Attempt) End(now time.Time, complete bool) {
+	if a == nil || a.ended {
 		return
 	}
-	r.ended = true
-	delete(r.judge.runs, r)
-	tally := r.judge.tally(r.key)
-	tally.UnderWay--
-	if !whole {
+	a.ended = true
+	delete(a.judge.attempts, a)
+	tally := a.judge.tally(a.key)
+	tally.InFlight--
+	if !complete {
 		return
 	}
-	took := uint64(now.Sub(r.sentAt).Milliseconds())
-	tally.Whole++
-	tally.WholeMillis += took
-	tally.WholeSquares += took * took
-	if r.facts.Stream && !r.workAt.IsZero() {
-		r.pace(now)
+	took := uint64(now.Sub(a.sentAt).Milliseconds())
+	tally.Complete++
+	tally.CompleteMillis += took
+	tally.CompleteSquares += took * took
+	if a.facts.Stream && !a.processingSince.IsZero() {
+		a.recordTime(now)
 	}
 }
 
 // pace notes how long the work took.
-func (r *Run) pace(now time.Time) {
-	if r.paced || r.facts.Cold || !r.facts.First {
+func (a *Attempt) recordTime(now time.Time) {
+	if a.timed || a.facts.Cold || !a.facts.First {
 		return
 	}
-	r.paced = true
-	took := now.Sub(r.workAt)
-	tally := r.judge.tally(r.key)
+	a.timed = true
+	took := now.Sub(a.processingSince)
+	tally := a.judge.tally(a.key)
 	tally.Timed++
-	tally.WorkMillis += uint32(took.Milliseconds())
-	if r.isSlow(took) {
+	tally.ProcessingMillis += uint32(took.Milliseconds())
+	if a.isSlow(took) {
 		tally.Slow++
 	}
 }
 
 // judgePace notes work that is slow already, though it hasn't ended: a version that takes
 // several times as long would be found out that much later.
-func (r *Run) judgePace(now time.Time) {
-	if !r.workAt.IsZero() && r.isSlow(now.Sub(r.workAt)) {
-		r.pace(now)
+func (a *Attempt) recordIfSlow(now time.Time) {
+	if !a.processingSince.IsZero() && a.isSlow(now.Sub(a.processingSince)) {
+		a.recordTime(now)
 	}
 }
 
-func (r *Run) isSlow(took time.Duration) bool {
-	mean, known := r.judge.meanWork(r.key.Route)
+func (a *Attempt) isSlow(took time.Duration) bool {
+	mean, known := a.judge.meanProcessingTime(a.key.Route)
 	return known && took > time.Duration(slowFactor*float64(mean))+slowExtra
 }
--- a/internal/rollout/tally.go
+++ b/internal/rollout/tally.go
@@ -41,7 +41,7 @@
 	Key Key `cbor:"1,keyasint"`
 	// Sent counts attempts, and UnderWay those that haven't ended.
 	Sent     uint32 `cbor:"2,keyasint,omitempty"`
-	UnderWay uint32 `cbor:"3,keyasint,omitempty"`
+	InFlight uint32 `cbor:"3,keyasint,omitempty"`
 	// Answers counts first attempts whose answer was judged, Failed those that reported a
 	// failure of the back end's own. What broke off without an answer says more of a machine
 	// or a link than of a version, and isn't counted.
@@ -53,12 +53,12 @@
 	Slow  uint32 `cbor:"7,keyasint,omitempty"`
 	// WorkMillis is the time that the timed ones took at the back end, and WholeMillis that of
 	// whole requests, of which there were Whole.
-	WorkMillis  uint32 `cbor:"8,keyasint,omitempty"`
-	Whole       uint32 `cbor:"9,keyasint,omitempty"`
-	WholeMillis uint64 `cbor:"10,keyasint,omitempty"`
+	ProcessingMillis uint32 `cbor:"8,keyasint,omitempty"`
+	Complete         uint32 `cbor:"9,keyasint,omitempty"`
+	CompleteMillis   uint64 `cbor:"10,keyasint,omitempty"`
 	// WholeSquares is the sum of the squares of these times, in square milliseconds: how far
 	// they spread.
-	WholeSquares uint64 `cbor:"11,keyasint,omitempty"`
+	CompleteSquares uint64 `cbor:"11,keyasint,omitempty"`
 }
 
 // SumKey is the key under which tallies are added up.
@@ -67,35 +67,35 @@
 // Plus returns the sum of two tallies of one key.
 func (t Tally) Plus(other Tally) Tally {
 	t.Sent += other.Sent
-	t.UnderWay += other.UnderWay
+	t.InFlight += other.InFlight
 	t.Answers += other.Answers
 	t.Failed += other.Failed
 	t.Timed += other.Timed
 	t.Slow += other.Slow
-	t.WorkMillis += other.WorkMillis
-	t.Whole += other.Whole
-	t.WholeMillis += other.WholeMillis
-	t.WholeSquares += other.WholeSquares
+	t.ProcessingMillis += other.ProcessingMillis
+	t.Complete += other.Complete
+	t.CompleteMillis += other.CompleteMillis
+	t.CompleteSquares += other.CompleteSquares
 	return t
 }
 
 // Minus takes off what Plus had added.
 func (t Tally) Minus(other Tally) Tally {
 	t.Sent -= other.Sent
-	t.UnderWay -= other.UnderWay
+	t.InFlight -= other.InFlight
 	t.Answers -= other.Answers
 	t.Failed -= other.Failed
 	t.Timed -= other.Timed
 	t.Slow -= other.Slow
-	t.WorkMillis -= other.WorkMillis
-	t.Whole -= other.Whole
-	t.WholeMillis -= other.WholeMillis
-	t.WholeSquares -= other.WholeSquares
+	t.ProcessingMillis -= other.ProcessingMillis
+	t.Complete -= other.Complete
+	t.CompleteMillis -= other.CompleteMillis
+	t.CompleteSquares -= other.CompleteSquares
 	return t
 }
 
 // addTo adds tallies up by their keys.
-func addTo(sum map[Key]Tally, tallies []Tally) {
+func addTallies(sum map[Key]Tally, tallies []Tally) {
 	for _, each := range tallies {
 		sum[each.Key] = each.Plus(sum[each.Key])
 	}
@@ -110,11 +110,11 @@
 func (t Tally) IsZero() bool { return t == Tally{Key: t.Key} }
 
 // meanWork returns the mean time of the answers that were timed; 0 without any.
-func (t Tally) meanWork() time.Duration {
+func (t Tally) meanProcessingTime() time.Duration {
 	if t.Timed == 0 {
 		return 0
 	}
-	return time.Duration(t.WorkMillis) * time.Millisecond / time.Duration(t.Timed)
+	return time.Duration(t.ProcessingMillis) * time.Millisecond / time.Duration(t.Timed)
 }
 
 // side returns which version the tally is of.
@@ -127,7 +127,7 @@
 
 // after returns what was counted since an earlier moment. A gateway that is gone takes its
 // counts with it, so a sum may have fallen: then nothing is known to have been counted.
-func (t Tally) after(before Tally) Tally {
+func (t Tally) increaseSince(before Tally) Tally {
 	if t.Answers < before.Answers || t.Timed < before.Timed || t.Failed < before.Failed || t.Slow < before.Slow {
 		return Tally{Key: t.Key}
 	}
