--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -91,7 +91,7 @@
 		}
 	}
 	_, err = acceptor.Offer(altered)
-	is.True(err != nil) // altered anywhere: refused, whatever the kind
+	is.True(err != nil) // an alteration is refused, with whatever kind
 	is.Equal(acceptor.Number(), uint64(5))
 }
 
@@ -132,9 +132,9 @@
 	is.True(!acceptor.HoldsLease(start)) // the new number is not confirmed yet
 }
 
-// TestNoKeyHasTwoOwnersAtOnce draws changes of a member list and checks that a
-// node that missed any of them can't own a key that a newer node owns while the
-// older one may still hold its lease.
+// TestNoKeyHasTwoOwnersAtOnce publishes random changes of a member list. It checks that a node
+// that missed some of them can't own a key that another back end owns by a newer version while
+// the older node may still hold its lease.
 func TestNoKeyHasTwoOwnersAtOnce(t *testing.T) {
 	key := testKey('k')
 	start := time.Unix(1_800_000_000, 0)
@@ -176,9 +176,9 @@
 		if oldOwner == newOwner {
 			return
 		}
-		// The old node was last confirmed before its successor was published.
-		// It takes a key at the latest when its lease ends, and the key was then
-		// issued at most one clock error later.
+		// The older node was last confirmed before the next version was published. It accepts its
+		// last key when its lease ends at the latest, and that key was issued at most one clock
+		// error later.
 		control := oldBundle.Content.Control
 		lastTaken := published[older+1].Add(control.OwnershipLease.Std() + control.ClockError.Std())
 		if !issued.After(lastTaken) {
@@ -194,7 +194,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		content, err := Parse("f", data)
 		if (content == nil) == (err == nil) {
-			t.Fatal("either a document or an error")
+			t.Fatal("Parse must return either a document or an error")
 		}
 	})
 }
--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -24,8 +24,8 @@
 	maxNameLength   = 64
 )
 
-// Parse reads and checks a bundle document. Every problem names file, line,
-// field and remedy. Defaults are filled in.
+// Parse decodes and checks a bundle document, and fills in defaults. The error lists every
+// problem with its file, line, field and remedy.
 func Parse(file string, data []byte) (*Content, error) {
 	content := &Content{}
 	document, err := tomlfile.Decode(file, data, content)
@@ -79,7 +79,7 @@
 
 func (c *checker) checkPools() {
 	if len(c.content.Pools) == 0 {
-		c.add("pools", "there is none", "add a [[pools]] table")
+		c.add("pools", "no pool is defined", "add a [[pools]] table")
 	}
 	names := map[string]bool{}
 	backEnds := map[string]bool{}
@@ -92,7 +92,7 @@
 		c.checkPoolKind(field, pool, models, prefixes)
 		c.checkPoolNumbers(field, pool)
 		if len(pool.BackEnds) == 0 {
-			c.add(field+".back_ends", "there is none", "add a [[pools.back_ends]] table")
+			c.add(field+".back_ends", "no back end is defined", "add a [[pools.back_ends]] table")
 		}
 		for j, backEnd := range pool.BackEnds {
 			c.checkBackEnd(fmt.Sprintf("%s.back_ends.%d", field, j), backEnd, backEnds)
@@ -108,7 +108,7 @@
 		}
 		for _, model := range pool.Models {
 			if other, taken := models[model]; taken {
-				c.add(field+".models", fmt.Sprintf("%q is served by pool %q already", model, other), "let one pool serve a model")
+				c.add(field+".models", fmt.Sprintf("%q is already served by pool %q", model, other), "list each model in only one pool")
 			}
 			models[model] = pool.Name
 		}
@@ -133,11 +133,11 @@
 		return
 	}
 	if strings.HasPrefix(prefix, "/v1/") {
-		c.add(field+".path_prefix", "/v1/ belongs to the chat API", "choose another prefix")
+		c.add(field+".path_prefix", "/v1/ is reserved for the chat API", "choose another prefix")
 	}
 	for other, name := range prefixes {
 		if strings.HasPrefix(prefix, other) || strings.HasPrefix(other, prefix) {
-			c.add(field+".path_prefix", fmt.Sprintf("overlaps with %q of pool %q", other, name), "choose prefixes of which none begins another")
+			c.add(field+".path_prefix", fmt.Sprintf("overlaps with %q of pool %q", other, name), "choose prefixes of which none is a prefix of another")
 		}
 	}
 	prefixes[prefix] = pool.Name
@@ -160,13 +160,13 @@
 		c.add(field+".agent", fmt.Sprintf("%q is not an IP address and port", backEnd.Agent), `write one such as "10.0.0.1:7300"`)
 	}
 	if backEnd.Zone == "" {
-		c.add(field+".zone", "is empty", "name the zone of the machine")
+		c.add(field+".zone", "is empty", "set the zone of the machine")
 	}
 }
 
 func (c *checker) checkTenants() {
 	if len(c.content.Tenants) == 0 {
-		c.add("tenants", "there is none", "add a [[tenants]] table")
+		c.add("tenants", "no tenant is defined", "add a [[tenants]] table")
 	}
 	names := map[string]bool{}
 	keys := map[string]string{}
@@ -177,7 +177,7 @@
 		c.number(field+".requests_per_second", tenant.RequestsPerSecond, 0, 1e6)
 		c.number(field+".burst", tenant.Burst, 0, 1e7)
 		if len(tenant.KeySHA256) == 0 {
-			c.add(field+".key_sha256", "there is none", "list the hex SHA-256 of at least one bearer key")
+			c.add(field+".key_sha256", "no key is listed", "list the hex SHA-256 of at least one bearer key")
 		}
 		for _, hash := range tenant.KeySHA256 {
 			c.checkKeyHash(field+".key_sha256", tenant.Name, hash, keys)
@@ -192,12 +192,12 @@
 		return
 	}
 	if other, taken := seen[hash]; taken {
-		c.add(field, fmt.Sprintf("the key belongs to tenant %q already", other), "give every tenant keys of its own")
+		c.add(field, fmt.Sprintf("the key already belongs to tenant %q", other), "use different keys for each tenant")
 	}
 	seen[hash] = tenant
 }
 
-// name checks an identifier and that it is used once.
+// name checks that an identifier is valid and used only once.
 func (c *checker) name(field, value string, seen map[string]bool) {
 	if !validName(value) {
 		c.add(field, fmt.Sprintf("%q is not a name", value), "use 1 to 64 of a-z, A-Z, 0-9, '-', '_' and '.'")
@@ -224,7 +224,7 @@
 }
 
 func (c *checker) number(field string, value, low, high float64) {
-	// The negated form also catches NaN.
+	// The negated condition also rejects NaN.
 	if !(value >= low && value <= high) {
 		c.add(field, fmt.Sprintf("%v is out of range", value), fmt.Sprintf("write a value from %v to %v", low, high))
 	}
--- a/internal/bundle/lookup.go
+++ b/internal/bundle/lookup.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// place is a back end's position in the document.
+// location is a back end's position in the document.
 type location struct {
 	pool    int
 	backEnd int
--- a/internal/bundle/model.go
+++ b/internal/bundle/model.go
@@ -1,5 +1,5 @@
-// Package bundle holds the operators' signed, numbered configuration: its
-// model, its checks, its signature and the rule by which a node accepts it.
+// Package bundle holds the operators' signed and numbered configuration: its model, its checks,
+// its signature, and the rule by which a node accepts it.
 //
 // The package does no I/O and reads no clock; times are passed in.
 package bundle
@@ -12,37 +12,36 @@
 	"github.com/harriernotch/harriernotch/internal/tomlfile"
 )
 
-// FormatVersion is the only document format this version reads.
+// FormatVersion is the only document format that this version reads.
 const FormatVersion = 1
 
-// MaxSize is the largest signed bundle in bytes: the platform's value limit.
+// MaxSize is the maximum size of a signed bundle in bytes: the platform's limit on a value.
 const MaxSize = 1 << 20
 
 // Content is the TOML document that operators write.
 type Content struct {
-	// Format is the document format; 1.
+	// Format is the document format; it is always 1.
 	Format int `toml:"format"`
-	// Control tunes how nodes coordinate.
+	// Control holds the settings of the coordination between nodes.
 	Control Control `toml:"control"`
-	// Objectives are the service-level targets that the burn report uses.
+	// Objectives are the service-level targets that the burn-rate report uses.
 	Objectives Objectives `toml:"objectives"`
 	// Pools group back ends that can serve the same requests.
 	Pools []Pool `toml:"pools"`
 	// Tenants are the callers' organisations.
 	Tenants []Tenant `toml:"tenants"`
 
-	// index speeds up look-ups; Parse builds it.
+	// index maps names to positions; Parse builds it.
 	index index
 }
 
-// Control tunes how nodes coordinate.
+// Control holds the settings of the coordination between nodes.
 type Control struct {
-	// OwnershipLease is how long an agent may go on running keyed unrepeatable
-	// requests without a confirmation from the platform that its bundle is the
-	// newest. A longer lease outlives longer platform outages; a key that moves
-	// to another owner waits that long. Default 90m.
+	// OwnershipLease is how long an agent may keep running keyed unrepeatable requests without a
+	// confirmation from the platform that its bundle is the newest. A longer lease covers longer
+	// platform outages, but a key that moves to another owner waits that long. Default 90m.
 	OwnershipLease tomlfile.Duration `toml:"ownership_lease"`
-	// ClockError bounds the difference between two machines' clocks. Default 2s.
+	// ClockError is the maximum difference between two machines' clocks. Default 2s.
 	ClockError tomlfile.Duration `toml:"clock_error"`
 }
 
@@ -52,17 +51,17 @@
 	FirstToken tomlfile.Duration `toml:"first_token"`
 	// BetweenTokens is the target time between two tokens. Default 48ms.
 	BetweenTokens tomlfile.Duration `toml:"between_tokens"`
-	// Fraction is the share of requests that must meet both. Default 0.95.
+	// Fraction is the fraction of requests that must meet both targets. Default 0.95.
 	Fraction float64 `toml:"fraction"`
-	// AnsweredWhole is the share of accepted requests whose answer must arrive
-	// whole. Default 0.999.
+	// AnsweredWhole is the fraction of accepted requests that must get a complete answer. Default
+	// 0.999.
 	AnsweredWhole float64 `toml:"answered_whole"`
 }
 
-// PoolKind tells what stands behind a pool.
+// PoolKind is the kind of back ends in a pool.
 type PoolKind string
 
-// The kinds of pool.
+// The kinds of pools.
 const (
 	// PoolEngine is a pool of model engines behind the chat API.
 	PoolEngine PoolKind = "engine"
@@ -70,13 +69,13 @@
 	PoolService PoolKind = "service"
 )
 
-// Rounding tells how a fractional load bound becomes a whole number.
+// Rounding is how a fractional load bound is rounded to an integer.
 type Rounding string
 
-// The roundings of the load bound.
+// The ways to round the load bound.
 const (
-	// RoundUp keeps more cache reuse; the load may pass the exact multiple by
-	// less than one request.
+	// RoundUp gives more cache reuse; the load may exceed the exact multiple by less than one
+	// request.
 	RoundUp Rounding = "up"
 	// RoundDown keeps the load below the exact multiple, for less skew.
 	RoundDown Rounding = "down"
@@ -92,29 +91,28 @@
 	Models []string `toml:"models"`
 	// PathPrefix is the path, such as "/loans/", that a service pool owns.
 	PathPrefix string `toml:"path_prefix"`
-	// UnrepeatableMethods are the HTTP methods that a service pool must not run
-	// twice unless the caller says otherwise. Default: POST and PATCH.
+	// UnrepeatableMethods are the HTTP methods of requests that a service pool must not run twice
+	// unless the caller allows it. Default: POST and PATCH.
 	UnrepeatableMethods []string `toml:"unrepeatable_methods"`
-	// LoadMultiple is c: no back end carries more than c times the pool's mean
-	// load. From 1.05 to 10; default 1.25.
+	// LoadMultiple is the factor c of the load bound: no back end gets more than c times the
+	// pool's mean load. From 1.05 to 10; default 1.25.
 	LoadMultiple float64 `toml:"load_multiple"`
 	// Rounding is "up" or "down"; default "up".
 	Rounding Rounding `toml:"rounding"`
-	// MeanWindow is the age to which a reported load counts towards the mean.
-	// Default 1s.
+	// MeanWindow is the maximum age of a reported load that counts towards the mean. Default 1s.
 	MeanWindow tomlfile.Duration `toml:"mean_window"`
-	// AffinityWait is how long a returning chat may wait at the engine that
-	// caches its context for a place under the bound. Longer keeps more reuse
-	// and delays some first tokens. Default 0.
+	// AffinityWait is how long a returning chat may wait until the engine that caches its context
+	// has room below the load bound. A longer wait gives more cache reuse and delays some first
+	// tokens. Default 0.
 	AffinityWait tomlfile.Duration `toml:"affinity_wait"`
-	// MaxRunning is how many requests one back end runs at a time. Default 32.
+	// MaxRunning is the number of requests that one back end runs at a time. Default 32.
 	MaxRunning int `toml:"max_running"`
-	// MaxQueued is how many accepted requests may wait at one agent. Default 64.
+	// MaxQueued is the number of accepted requests that may wait at one agent. Default 64.
 	MaxQueued int `toml:"max_queued"`
 	// BackEnds are the pool's members.
 	BackEnds []BackEnd `toml:"back_ends"`
 
-	// memberIDs are the IDs of BackEnds; Parse fills it.
+	// memberIDs are the IDs of BackEnds; Parse fills it in.
 	memberIDs []string
 }
 
@@ -124,24 +122,24 @@
 	ID string `toml:"id"`
 	// Agent is the agent's IP address and port.
 	Agent string `toml:"agent"`
-	// Region and Zone place the machine.
+	// Region and Zone are the location of the machine.
 	Region string `toml:"region"`
 	Zone   string `toml:"zone"`
-	// Leaving withdraws the back end: it gets no new work.
+	// Leaving withdraws the back end: it gets no new requests.
 	Leaving bool `toml:"leaving"`
 }
 
-// Tenant is one organisation's share of the fleet.
+// Tenant is one organisation that sends requests, with its keys and limits.
 type Tenant struct {
 	// Name identifies the tenant in logs, metrics and reports.
 	Name string `toml:"name"`
-	// KeySHA256 are hex SHA-256 hashes of the tenant's bearer keys.
+	// KeySHA256 are the hexadecimal SHA-256 hashes of the tenant's bearer keys.
 	KeySHA256 []string `toml:"key_sha256"`
-	// Weight is the tenant's share where requests queue. Default 1.
+	// Weight is the tenant's relative share of capacity when requests queue. Default 1.
 	Weight float64 `toml:"weight"`
-	// RequestsPerSecond limits the tenant across the fleet; 0 sets no limit.
+	// RequestsPerSecond limits the tenant's rate in the whole fleet; 0 means no limit.
 	RequestsPerSecond float64 `toml:"requests_per_second"`
-	// Burst is how many requests may come at once above the rate. Default: two
+	// Burst is the number of requests that may arrive at once above the rate. Default: two
 	// seconds of the rate.
 	Burst float64 `toml:"burst"`
 }
@@ -161,7 +159,7 @@
 	defaultBurstSeconds   = 2
 )
 
-// applyDefaults fills every optional field that the document left out.
+// applyDefaults fills in the optional fields that the document leaves out.
 func (c *Content) applyDefaults() {
 	setDuration(&c.Control.OwnershipLease, defaultOwnershipLease)
 	setDuration(&c.Control.ClockError, defaultClockError)
@@ -204,11 +202,11 @@
 	}
 }
 
-// MemberIDs lists the pool's back ends in the bundle's order. The caller must
-// not change the list.
+// MemberIDs returns the IDs of the pool's back ends in the bundle's order. The caller must not
+// modify the list.
 func (p *Pool) MemberIDs() []string { return p.memberIDs }
 
-// Serves tells whether the pool serves the model.
+// Serves reports whether the pool serves the model.
 func (p *Pool) Serves(model string) bool {
 	for _, name := range p.Models {
 		if name == model {
@@ -218,8 +216,8 @@
 	return false
 }
 
-// IsUnrepeatable tells whether the pool's calls by the HTTP method must run at
-// most once when the caller says nothing.
+// IsUnrepeatable reports whether the pool's requests with the HTTP method must run at most once
+// unless the caller says otherwise.
 func (p *Pool) IsUnrepeatable(method string) bool {
 	for _, name := range p.UnrepeatableMethods {
 		if name == method {
@@ -229,7 +227,7 @@
 	return false
 }
 
-// HashKey returns the form in which the bundle holds a tenant's bearer key.
+// HashKey returns the hash under which the bundle lists a tenant's bearer key.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/internal/bundle/owner.go
+++ b/internal/bundle/owner.go
@@ -7,15 +7,15 @@
 	"github.com/harriernotch/harriernotch/internal/routing"
 )
 
-// OwnerOf returns the one back end that may run an unrepeatable request with
-// the key. It depends on the key, its time of issue and the bundle's lists
-// alone, never on who looks alive, so churn can't move a key.
+// OwnerOf returns the only back end that may run an unrepeatable request with the key. It depends
+// only on the key, its time of issue and the bundle's lists, never on which back ends seem to be
+// alive, so churn can't move a key.
 func (b *Bundle) OwnerOf(pool *Pool, key string, issued time.Time) string {
 	return routing.Owner(key, b.ownersAt(pool, issued))
 }
 
-// ownersAt returns the member list that owns keys issued at the moment: that of
-// the first handover which had not ended, else the current one.
+// ownersAt returns the member list that owns keys issued at the given time: that of the first
+// handover that had not ended by then, or else the current one.
 func (b *Bundle) ownersAt(pool *Pool, issued time.Time) []string {
 	for _, handover := range b.Handovers {
 		if handover.Pool == pool.Name && issued.Before(handover.Until()) {
@@ -25,23 +25,23 @@
 	return pool.MemberIDs()
 }
 
-// PublishSlack is the longest time from signing to publishing. A bundle that
-// changes a member list and is signed longer ago must be signed anew, since its
-// handovers were reckoned from the time of signing.
+// PublishSlack is the maximum time from signing to publishing. A bundle that changes a member
+// list and was signed longer ago must be signed again, since the ends of its handovers were
+// computed from the time of signing.
 const PublishSlack = 5 * time.Minute
 
-// Succession is what a new version must carry from the one before it.
+// Succession is what the header of a new version takes over from the version before it.
 type Succession struct {
 	// Handovers is the new header's list.
 	Handovers []Handover
-	// StaleUntil is when the last node that missed the new version has lost its
-	// lease, whichever earlier version it holds.
+	// StaleUntil is when the last node that missed the new version has lost its lease, whichever
+	// earlier version it holds.
 	StaleUntil time.Time
 }
 
-// SuccessionOf returns what a successor of previous needs, given the new
-// document and the time of signing. Ended handovers are dropped after one more
-// KeyMemory, since no owner knows an older key.
+// SuccessionOf returns what the successor of previous needs, given the new document and the time
+// of signing. A handover is dropped KeyRetention after its end, since no owner remembers keys
+// that are older than that.
 func SuccessionOf(previous *Bundle, next *Content, signedAt time.Time) Succession {
 	if previous == nil {
 		return Succession{}
@@ -65,8 +65,8 @@
 	return succession
 }
 
-// staleUntil covers the lease of the previous version and, through its header,
-// longer leases of versions before it.
+// staleUntil returns the time until which a node may hold a lease on the previous version or,
+// through its header, on a version before it with a longer lease.
 func staleUntil(previous *Bundle, signedAt time.Time) time.Time {
 	control := previous.Content.Control
 	until := signedAt.Add(PublishSlack + control.OwnershipLease.Std() + 2*control.ClockError.Std())
@@ -77,11 +77,11 @@
 	return until
 }
 
-// KeyMemory is how long an owner remembers the outcome of a key.
+// KeyRetention is how long an owner remembers the outcome of a key.
 const KeyRetention = 24 * time.Hour
 
-// HandoversMissing tells whether next changes a member list of previous without
-// the handover that keeps keys at their owners.
+// HandoversMissing reports whether next changes a member list of previous without the handover
+// that keeps keys at their owners.
 func HandoversMissing(previous, next *Bundle) bool {
 	required := SuccessionOf(previous, next.Content, next.SignedAt())
 	for _, handover := range required.Handovers {
--- a/internal/bundle/sign.go
+++ b/internal/bundle/sign.go
@@ -14,33 +14,34 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// signatureContext separates bundle signatures from any other use of a key.
+// signatureContext prefixes the signed bytes, so that a signature made with the same key for
+// another purpose isn't valid for a bundle.
 const signatureContext = "harriernotch bundle v1\n"
 
 // Header is the signed description of one published version.
 type Header struct {
-	// Number orders versions; every publication takes a higher one.
+	// Number orders versions; every publication uses a higher one.
 	Number uint64 `cbor:"1,keyasint"`
-	// Identifier is the writer's own random identifier. After a lost answer it
-	// tells whether the write took effect.
+	// Identifier is a random identifier that the writer chose. If the answer to a write is lost,
+	// it shows whether the write took effect.
 	Identifier string `cbor:"2,keyasint"`
-	// SignedAtMillis is the signer's clock, in Unix milliseconds.
+	// SignedAtMillis is the time of signing by the signer's clock, in Unix milliseconds.
 	SignedAtMillis int64 `cbor:"3,keyasint"`
-	// Handovers keep the owners of unrepeatable keys stable while a member
-	// list changes, oldest first.
+	// Handovers keep the owners of keys of unrepeatable requests stable while a member list
+	// changes, oldest first.
 	Handovers []Handover `cbor:"4,keyasint,omitempty"`
-	// StaleUntilMillis is when the last node that missed this version has lost
-	// its lease, in Unix milliseconds; 0 for the first version.
+	// StaleUntilMillis is when the last node that missed this version has lost its lease, in Unix
+	// milliseconds; 0 for the first version.
 	StaleUntilMillis int64 `cbor:"5,keyasint,omitempty"`
-	// Note is the operator's remark.
+	// Note is the operator's comment.
 	Note string `cbor:"6,keyasint,omitempty"`
 }
 
-// Handover says which member list owns the keys issued before a moment.
+// Handover defines which member list owns the keys that were issued before a given time.
 type Handover struct {
 	// Pool is the pool's name.
 	Pool string `cbor:"1,keyasint"`
-	// Members is the list in force before the change.
+	// Members is the member list from before the change.
 	Members []string `cbor:"2,keyasint"`
 	// UntilMillis is a Unix time in milliseconds: keys issued before it belong
 	// to Members.
@@ -50,13 +51,13 @@
 // Until returns the end of the handover.
 func (h Handover) Until() time.Time { return time.UnixMilli(h.UntilMillis) }
 
-// signedPart is what a signature covers.
+// signedPart is the content that the signature covers.
 type signedPart struct {
 	Header  Header `cbor:"1,keyasint"`
 	Content []byte `cbor:"2,keyasint"`
 }
 
-// envelope is the stored and relayed form.
+// envelope is the form in which a bundle is stored and relayed.
 type envelope struct {
 	// Signed is the compressed CBOR of signedPart.
 	Signed    []byte `cbor:"1,keyasint"`
@@ -64,35 +65,35 @@
 	KeyID     string `cbor:"3,keyasint"`
 }
 
-// Bundle is a verified version.
+// Bundle is a verified version of the configuration.
 type Bundle struct {
 	Header
-	// Content is the parsed document with defaults.
+	// Content is the parsed document, including defaults.
 	Content *Content
 	// Source is the document as the operator wrote it.
 	Source []byte
-	// Raw is the signed form, as stored and relayed.
+	// Raw is the signed form, as it is stored and relayed.
 	Raw []byte
-	// KeyID names the key that signed it.
+	// KeyID identifies the key that signed the bundle.
 	KeyID string
 }
 
-// SignedAt returns the signer's time.
+// SignedAt returns the time of signing by the signer's clock.
 func (h Header) SignedAt() time.Time { return time.UnixMilli(h.SignedAtMillis) }
 
-// KeyID returns the short name of a public key.
+// KeyID returns the short identifier of a public key.
 func KeyID(key ed25519.PublicKey) string {
 	sum := sha256.Sum256(key)
 	return hex.EncodeToString(sum[:8])
 }
 
-// Sign returns the signed form of a document. The document must pass Parse.
+// Sign returns the signed form of a document. It fails if the document doesn't pass Parse.
 func Sign(header Header, source []byte, key ed25519.PrivateKey) ([]byte, error) {
 	if _, err := Parse("bundle", source); err != nil {
-		return nil, failure.Wrap(failure.InvalidBundle, err, "the document doesn't pass its checks")
+		return nil, failure.Wrap(failure.InvalidBundle, err, "the document is invalid")
 	}
 	if header.Number == 0 || header.Identifier == "" {
-		return nil, failure.New(failure.InvalidBundle, "a version needs a number above 0 and an identifier")
+		return nil, failure.New(failure.InvalidBundle, "the header needs a number above 0 and an identifier")
 	}
 	encoded, err := cbor.Marshal(signedPart{Header: header, Content: source})
 	if err != nil {
@@ -104,7 +105,7 @@
 	}
 	public, ok := key.Public().(ed25519.PublicKey)
 	if !ok {
-		return nil, failure.New(failure.InvalidBundle, "the signing key has no Ed25519 public half")
+		return nil, failure.New(failure.InvalidBundle, "the signing key has no Ed25519 public key")
 	}
 	raw, err := cbor.Marshal(envelope{
 		Signed:    compressed,
@@ -120,7 +121,7 @@
 	return raw, nil
 }
 
-// Open verifies a signed form and parses its document.
+// Open verifies the signature of a signed bundle and parses its document.
 func Open(raw []byte, trusted []ed25519.PublicKey) (*Bundle, error) {
 	if len(raw) > MaxSize {
 		return nil, failure.New(failure.InvalidBundle, "the signed bundle is over 1 MiB")
@@ -129,10 +130,10 @@
 	if err := cbor.Unmarshal(raw, &sealed); err != nil {
 		return nil, failure.Wrap(failure.InvalidBundle, err, "not a signed bundle")
 	}
-	// The signature is checked before anything inside is decompressed or
-	// decoded, so that only trusted bytes reach those decoders.
+	// The signature is verified before anything inside is decompressed or decoded, so that only
+	// trusted bytes reach those decoders.
 	if !verified(sealed, trusted) {
-		return nil, failure.New(failure.BadSignature, "no trusted key made the signature; sign with a key listed in trusted_keys")
+		return nil, failure.New(failure.BadSignature, "the signature was not made by a trusted key; sign with a key listed in trusted_keys")
 	}
 	encoded, err := decompress(sealed.Signed)
 	if err != nil {
@@ -144,7 +145,7 @@
 	}
 	content, err := Parse("bundle", part.Content)
 	if err != nil {
-		return nil, failure.Wrap(failure.InvalidBundle, err, "the document doesn't pass its checks")
+		return nil, failure.Wrap(failure.InvalidBundle, err, "the document is invalid")
 	}
 	return &Bundle{Header: part.Header, Content: content, Source: part.Content, Raw: raw, KeyID: sealed.KeyID}, nil
 }
@@ -175,7 +176,7 @@
 	return buffer.Bytes(), nil
 }
 
-// maxPlainSize bounds what a compressed bundle may unpack to, in bytes.
+// maxDecompressedSize is the maximum size of a decompressed bundle in bytes.
 const maxDecompressedSize = 16 << 20
 
 func decompress(compressed []byte) ([]byte, error) {
@@ -188,7 +189,7 @@
 		return nil, err
 	}
 	if len(data) > maxDecompressedSize {
-		return nil, failure.New(failure.InvalidBundle, "the bundle unpacks to over 16 MiB")
+		return nil, failure.New(failure.InvalidBundle, "the decompressed bundle is over 16 MiB")
 	}
 	return data, nil
 }
--- a/internal/clock/boottime_linux.go
+++ b/internal/clock/boottime_linux.go
@@ -6,13 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspendedSinceBoot returns a reader of the time that the machine was suspended: the clock
-// since boot counts it, the monotonic one doesn't.
+// suspendedSinceBoot returns a function that returns how long the machine was suspended since it
+// booted: CLOCK_BOOTTIME includes that time, CLOCK_MONOTONIC doesn't.
 func suspendedSinceBoot() func() time.Duration {
 	return func() time.Duration { return readClock(unix.CLOCK_BOOTTIME) - readClock(unix.CLOCK_MONOTONIC) }
 }
 
-// read returns a clock's time, or 0 where the system lacks it: both differ by nothing then.
+// readClock returns the time of a clock, or 0 if the system doesn't have the clock. Without
+// CLOCK_BOOTTIME no suspension is counted.
 func readClock(id int32) time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(id, &now); err != nil {
--- a/internal/clock/boottime_other.go
+++ b/internal/clock/boottime_other.go
@@ -4,7 +4,8 @@
 
 import "time"
 
-// suspendedSinceBoot returns a reader that knows of no suspension.
+// suspendedSinceBoot returns a function that always returns 0: on this system suspensions aren't
+// counted.
 func suspendedSinceBoot() func() time.Duration {
 	return func() time.Duration { return 0 }
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,8 @@
-// Package clock tells how old something is, also across a suspension of the machine.
+// Package clock measures durations that include the time that the machine was suspended.
 //
-// The monotonic clock, by which Go measures, stands still while a machine is suspended: a
-// gateway that wakes takes what it knew hours ago for milliseconds old. Clock adds the time
-// that the machine was suspended. Like the monotonic clock it never steps with the time of
-// day.
+// Go measures durations by the monotonic clock, which stops while a machine is suspended: after a
+// suspension, a gateway would take what it learned hours ago to be milliseconds old. Clock adds
+// the time of suspensions. Like the monotonic clock, it doesn't step with the time of day.
 package clock
 
 import (
@@ -11,38 +10,40 @@
 	"time"
 )
 
-// Clock counts like the monotonic clock, and while the machine is suspended, too. The nil
-// Clock is the monotonic clock alone. It is safe for concurrent use.
+// Clock is a monotonic clock that also counts while the machine is suspended. The nil Clock is
+// the monotonic clock itself. A Clock is safe for concurrent use.
 type Clock struct {
 	readSuspended func() time.Duration
 	started       time.Time
-	// looksAlways is set where the time of day doesn't show a suspension.
+	// alwaysReads is true if the time of day doesn't reveal suspensions, so that each call must
+	// read them.
 	alwaysReads bool
-	// total is the time that the machine was suspended since the start, in nanoseconds, and
-	// apart how far the time of day and the monotonic clock had come apart when it was read.
+	// totalSuspended is the time that the machine was suspended since the clock was created.
+	// drift is the difference between the elapsed times of the time of day and of the monotonic
+	// clock when it was last recorded. Both are in nanoseconds.
 	totalSuspended atomic.Int64
 	drift          atomic.Int64
 }
 
-// tolerance is how far the time of day may come apart from the monotonic clock before a
-// suspension is looked for: that costs a system call, and any moment asks for the time. The
-// time of day is slewed by less between two looks; shorter suspensions don't matter.
+// driftTolerance is the change of the drift above which the time of suspensions is read again.
+// Reading it costs a system call, and Now is called very often. Between two readings the time of
+// day is slewed by less, and shorter suspensions don't matter.
 const driftTolerance = 20 * time.Millisecond
 
-// shortest is the shortest suspension that counts: the system's two clocks aren't read at the
-// same moment.
+// minSuspension is the shortest suspension that counts, since the system's two clocks aren't read
+// at the same moment.
 const minSuspension = 10 * time.Millisecond
 
-// New returns a clock by the system's. Where the system doesn't tell of suspensions, it is the
-// monotonic clock.
+// New returns a clock that counts the system's suspensions. On systems that don't report them, it
+// is the monotonic clock.
 func New() *Clock {
 	c := NewFrom(suspendedSinceBoot())
 	c.alwaysReads = false
 	return c
 }
 
-// NewFrom returns a clock that asks, each time, how long the machine was suspended so far, for
-// trials of suspensions.
+// NewFrom returns a clock that calls suspended for each reading of the time, to get the total
+// time that the machine was suspended. It is for tests of suspensions.
 func NewFrom(suspended func() time.Duration) *Clock {
 	c := &Clock{started: time.Now(), alwaysReads: true}
 	initial := suspended()
@@ -50,7 +51,7 @@
 	return c
 }
 
-// Now returns the moment. It compares with other moments of this clock alone.
+// Now returns the current time. It is comparable only with other times of this clock.
 func (c *Clock) Now() time.Time {
 	now := time.Now()
 	if c == nil {
@@ -62,8 +63,9 @@
 	return now.Add(time.Duration(c.totalSuspended.Load()))
 }
 
-// cameApart tells whether the time of day and the monotonic clock came apart since the last
-// look: the machine was suspended, or the time of day stepped.
+// driftChanged reports whether the time of day and the monotonic clock have drifted apart by more
+// than driftTolerance since the drift was last recorded, and records the new drift: either the
+// machine was suspended, or the time of day stepped.
 func (c *Clock) driftChanged(now time.Time) bool {
 	drift := now.Round(0).Sub(c.started.Round(0)) - now.Sub(c.started)
 	change := drift - time.Duration(c.drift.Load())
@@ -74,8 +76,7 @@
 	return true
 }
 
-// look reads how long the machine was suspended. A machine is never less suspended than it
-// was.
+// update reads how long the machine was suspended. The total never decreases.
 func (c *Clock) update() {
 	for {
 		known, current := c.totalSuspended.Load(), int64(c.readSuspended())
@@ -85,13 +86,14 @@
 	}
 }
 
-// Since returns the time since a moment of this clock.
+// Since returns the time since moment, a time of this clock.
 func (c *Clock) Since(moment time.Time) time.Duration { return c.Now().Sub(moment) }
 
-// Until returns the time to a moment of this clock.
+// Until returns the time until moment, a time of this clock.
 func (c *Clock) Until(moment time.Time) time.Duration { return moment.Sub(c.Now()) }
 
-// Suspended returns how long the machine was suspended since the start.
+// Suspended returns how long the machine was suspended since the clock was created, by the last
+// reading.
 func (c *Clock) Suspended() time.Duration {
 	if c == nil {
 		return 0
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,7 +12,7 @@
 func TestClockCountsSuspensions(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		suspended := 5 * time.Second // before the start
+		suspended := 5 * time.Second // before the clock was created
 		c := NewFrom(func() time.Duration { return suspended })
 		began := c.Now()
 		time.Sleep(time.Second)
@@ -21,7 +21,7 @@
 		is.Equal(c.Since(began), 9*time.Second)
 		is.Equal(c.Until(began), -9*time.Second)
 		is.Equal(c.Suspended(), 8*time.Second)
-		suspended -= 2 * time.Second // what can't be is passed over
+		suspended -= 2 * time.Second // impossible, so it is ignored
 		c.Now()
 		is.Equal(c.Suspended(), 8*time.Second)
 	})
--- a/internal/rollout/run.go
+++ b/internal/rollout/attempt.go
@@ -2,43 +2,46 @@
 
 import "time"
 
-// Facts are what the judge needs to know of an attempt.
+// AttemptFacts are what the judge needs to know of an attempt.
 type AttemptFacts struct {
-	// Route names the request's route, and BackEnd its target.
+	// Route is the name of the request's route, and BackEnd the back end that the attempt is sent
+	// to.
 	Route   string
 	BackEnd string
-	// First is true for the request's first attempt. A further one has failed before, often by
-	// the request's own doing, and says nothing of the version.
+	// First is true for the request's first attempt. The attempt before a retry failed, often
+	// because of the request itself, so the retry says nothing about the version.
 	First bool
-	// Stream is true where the answer is a series of events.
+	// Stream is true if the answer is a stream of events.
 	Stream bool
-	// Cold is true while the back end is slow from its start.
+	// Cold is true while the back end is still slow after its start.
 	Cold bool
 }
 
-// Run is one attempt on its way.
+// Attempt is one attempt that is tracked by a judge.
 type Attempt struct {
 	judge  *Judge
 	key    Key
 	facts  AttemptFacts
 	sentAt time.Time
-	// workAt is when the work began whose pace is judged: for a stream its first event, which
-	// comes late where a prompt must be read that the standing version has cached.
+	// processingSince is when the timed processing began. For a stream that is its first event,
+	// which comes late if the back end must process a prompt that the standing version has
+	// cached.
 	processingSince time.Time
 	timed           bool
 	ended           bool
 }
 
 const (
-	// slowFactor times the standing version's mean is slow. Exponentially spread times exceed
-	// it once in 12, on both sides; those of a version that takes four times as long, every
-	// second time.
+	// An answer is slow if it takes more than slowFactor times the standing version's mean.
+	// Exponentially distributed times exceed that once in 12, on both sides; those of a version
+	// that takes four times as long, every second time.
 	slowFactor = 2.5
-	// slowExtra keeps short work from being slow for the time that news takes on its way.
+	// slowExtra is added, so that short processing doesn't count as slow because of delays in
+	// transit.
 	slowExtra = 20 * time.Millisecond
 )
 
-// Send notes an attempt.
+// StartAttempt records an attempt that is being sent, and tracks it until it ends.
 func (j *Judge) StartAttempt(now time.Time, side Side, facts AttemptFacts) *Attempt {
 	key := Key{Order: j.id, Route: RouteKey(facts.Route), Group: groupOf(side, facts.BackEnd)}
 	attempt := &Attempt{judge: j, key: key, facts: facts, sentAt: now}
@@ -52,10 +55,10 @@
 	return attempt
 }
 
-// Failed notes an answer that reports a failure of the back end's own.
+// Failed records an answer that reports a failure of the back end itself.
 func (a *Attempt) Failed(now time.Time) { a.recordAnswer(now, true) }
 
-// Answered notes the beginning of an answer that can be passed on.
+// Answered records the beginning of an answer that can be passed on.
 func (a *Attempt) Answered(now time.Time) { a.recordAnswer(now, false) }
 
 func (a *Attempt) recordAnswer(now time.Time, failed bool) {
@@ -66,7 +69,7 @@
 	tally.Answers++
 	if failed {
 		tally.Failed++
-		a.timed = true // how fast a failure comes says nothing
+		a.timed = true // the time that a failure takes says nothing about the version
 		return
 	}
 	if a.facts.Stream {
@@ -76,7 +79,7 @@
 	a.recordTime(now)
 }
 
-// End notes that the attempt ended; whole is true for a whole answer.
+// End records the end of the attempt. complete is true if the whole answer arrived.
 func (a *Attempt) End(now time.Time, complete bool) {
 	if a == nil || a.ended {
 		return
@@ -97,7 +100,7 @@
 	}
 }
 
-// pace notes how long the work took.
+// recordTime records the processing time, once.
 func (a *Attempt) recordTime(now time.Time) {
 	if a.timed || a.facts.Cold || !a.facts.First {
 		return
@@ -112,8 +115,8 @@
 	}
 }
 
-// judgePace notes work that is slow already, though it hasn't ended: a version that takes
-// several times as long would be found out that much later.
+// recordIfSlow records processing that is slow already, although it hasn't ended. Otherwise a
+// version that takes several times as long would be detected that much later.
 func (a *Attempt) recordIfSlow(now time.Time) {
 	if !a.processingSince.IsZero() && a.isSlow(now.Sub(a.processingSince)) {
 		a.recordTime(now)
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -9,22 +9,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Judge follows one order in one gateway. It is not safe for concurrent use.
+// Judge tracks one order in one gateway. It is not safe for concurrent use.
 type Judge struct {
 	order  Order
 	id     uint32
 	limits Limits
-	// beganAt is when the order was given, as far as any gateway knows.
+	// beganAt is when the order was given: the earliest time that this gateway knows from itself,
+	// its peers or the store.
 	beganAt time.Time
-	// candidateSince is when back ends of the target version were first listed here.
+	// candidateSince is when this gateway first knew of back ends of the target version, or zero
+	// while there are none.
 	candidateSince time.Time
 	state          State
-	// abandoned is set once any gateway found the candidate bad, and finding is why, where
-	// this one did.
+	// abandoned is true once any gateway has found the candidate bad. finding is the reason, if
+	// this gateway found it.
 	abandoned bool
 	finding   *Finding
-	// doubts are how much speaks against the candidate on each route, and on all together
-	// under 0, as logarithms of likelihood ratios.
+	// doubts holds the evidence against the candidate on each route, and on all routes together
+	// under key 0, as log-likelihood ratios.
 	doubts   map[uint32]float64
 	own      map[Key]*Tally
 	attempts map[*Attempt]struct{}
@@ -32,23 +34,25 @@
 	history  []snapshot
 }
 
-// moment is what all gateways had counted at a time.
+// snapshot holds the tallies of all gateways at one time.
 type snapshot struct {
 	at      time.Time
 	tallies map[Key]Tally
 }
 
 const (
-	// lookPeriod is the least time between two looks at the evidence, a round of tallies.
+	// evaluationInterval is the minimum time between two evaluations of the evidence: one round
+	// of tallies.
 	evaluationInterval = 200 * time.Millisecond
-	// recentTime is the shortest span whose answers are judged by themselves: shorter ones hold
-	// too few. spanGrowth is by how much each further one is longer, so that a candidate which
-	// turned bad is judged by a span that began at most so much before it did.
+	// shortestSpan is the shortest time span whose answers are evaluated by themselves: shorter
+	// ones contain too few. spanGrowth is the ratio of the lengths of successive spans, so that a
+	// candidate that turned bad is evaluated over a span at most about that many times as long as
+	// the time since then.
 	shortestSpan = 2 * time.Second
 	spanGrowth   = 1.5
 )
 
-// NewJudge returns a judge of an order that this gateway has heard of now.
+// NewJudge returns a judge of an order that this gateway has just learned of.
 func NewJudge(now time.Time, order Order, limits Limits) *Judge {
 	return &Judge{
 		order: order, id: order.ID(), limits: limits, beganAt: now,
@@ -56,16 +60,17 @@
 	}
 }
 
-// Order returns what is judged.
+// Order returns the order that is judged.
 func (j *Judge) Order() Order { return j.order }
 
-// State returns how far the store says that the order has come.
+// State returns the last known state in the store.
 func (j *Judge) State() State { return j.state }
 
-// SetState takes what stands in the store.
+// SetState sets the state that was read from the store. An earlier state than the known one is
+// ignored.
 func (j *Judge) SetState(state State) { j.state = max(j.state, state) }
 
-// SetCandidates notes whether back ends of the target version are in service.
+// SetCandidates sets whether back ends of the target version are in service.
 func (j *Judge) SetCandidates(now time.Time, present bool) {
 	switch {
 	case !present:
@@ -75,18 +80,18 @@
 	}
 }
 
-// HasCandidates tells whether back ends of the target version are in service.
+// HasCandidates reports whether back ends of the target version are in service.
 func (j *Judge) HasCandidates() bool { return !j.candidateSince.IsZero() }
 
-// SetGateways notes how many gateways there are.
+// SetGateways sets the number of gateways in the fleet.
 func (j *Judge) SetGateways(count int) { j.remote.gateways = count }
 
-// Mark returns what peers are told.
+// Mark returns the mark to send to peers.
 func (j *Judge) Mark(now time.Time) Mark {
 	return Mark{Order: j.id, AgeMillis: now.Sub(j.beganAt).Milliseconds(), Abandoned: j.abandoned}
 }
 
-// Hear takes a peer's mark and tells whether the candidate was given up by it.
+// MergeMark merges a peer's mark, and reports whether it made this gateway abandon the candidate.
 func (j *Judge) MergeMark(now time.Time, mark Mark) (abandoned bool) {
 	if mark.Order != j.id {
 		return false
@@ -101,14 +106,15 @@
 }
 
 const (
-	// longestAge bounds the age of an order that a peer may tell.
+	// maxOrderAge limits the age of an order that a peer may report.
 	maxOrderAge = 24 * time.Hour
-	// ageSlack is by how much a peer's age must differ to count: the time of the message is
-	// lost with each hop, and two gateways mustn't push each other back.
+	// ageSlack is by how much a peer's age of the order must exceed this gateway's to replace it.
+	// Each hop loses the time that the message was in transit, and two gateways must not keep
+	// moving each other's start time back.
 	ageSlack = 100 * time.Millisecond
 )
 
-// Side returns the version for a request's first attempt.
+// FirstSide returns the version for a request's first attempt.
 func (j *Judge) FirstSide(now time.Time, route, request string) Side {
 	share := j.share(now, RouteKey(route))
 	if share >= 1 {
@@ -121,8 +127,8 @@
 	return Standing
 }
 
-// FurtherSide returns the version for a further attempt: the standing one, unless the route
-// has been moved.
+// RetrySide returns the version for a further attempt: the standing one, unless all of the
+// route's requests go to the candidate already.
 func (j *Judge) RetrySide(now time.Time, route string) Side {
 	if j.share(now, RouteKey(route)) >= 1 {
 		return Candidate
@@ -130,7 +136,7 @@
 	return Standing
 }
 
-// Allows tells whether anything may be sent to back ends of the side.
+// Allows reports whether requests may be sent to back ends of the side.
 func (j *Judge) Allows(side Side) bool {
 	if side == Candidate {
 		return j.state != Reverted && !j.abandoned
@@ -138,7 +144,7 @@
 	return j.state != Completed
 }
 
-// tally returns this gateway's own of a key.
+// tally returns this gateway's own tally of a key, and creates it if needed.
 func (j *Judge) tally(key Key) *Tally {
 	known := j.own[key]
 	if known == nil {
@@ -148,7 +154,7 @@
 	return known
 }
 
-// Tallies returns this gateway's own.
+// Tallies returns this gateway's own tallies.
 func (j *Judge) Tallies(now time.Time) []Tally {
 	for attempt := range j.attempts {
 		attempt.recordIfSlow(now)
@@ -161,36 +167,36 @@
 	return list
 }
 
-// TakeTotals takes the tallies of all other gateways of a large fleet together, of which so
-// many were counted of those expected, this one included.
+// SetTallyTotals sets the combined tallies of all other gateways of a large fleet. They cover
+// counted of the expected gateways; both numbers include this gateway.
 func (j *Judge) SetTallyTotals(now time.Time, tallies []Tally, counted, expected int) {
 	j.remote.setTotals(now, j.ofThisOrder(tallies), counted, expected)
 }
 
-// TakePeer takes one gateway's tallies in a small fleet.
+// SetPeerTallies sets the tallies of one peer in a small fleet.
 func (j *Judge) SetPeerTallies(now time.Time, peer string, tallies []Tally) {
 	j.remote.setPeer(now, peer, j.ofThisOrder(tallies))
 }
 
-// mine returns the tallies that are of this order and of a group that there is: another build's
-// may have more.
+// ofThisOrder returns the tallies that belong to this order and to an existing group: another
+// build may have more groups.
 func (j *Judge) ofThisOrder(tallies []Tally) []Tally {
 	return slices.DeleteFunc(slices.Clone(tallies), func(t Tally) bool {
 		return t.Key.Order != j.id || t.Key.Group >= standingGroups+candidateGroups
 	})
 }
 
-// hears tells whether enough of the fleet is heard to judge for all.
+// hasQuorum reports whether the tallies cover enough of the fleet to judge for all of it.
 func (j *Judge) hasQuorum(now time.Time) bool { return j.remote.hasQuorum(now) }
 
-// sum returns the tallies of all gateways that are heard.
+// sum returns the sums of this gateway's tallies and the fresh ones of the others.
 func (j *Judge) sum(now time.Time) map[Key]Tally {
 	total := j.remote.sum(now)
 	addTallies(total, j.Tallies(now))
 	return total
 }
 
-// latest returns the tallies as they were last looked at.
+// latestTallies returns the tallies of the last evaluation.
 func (j *Judge) latestTallies() map[Key]Tally {
 	if len(j.history) == 0 {
 		return nil
@@ -198,7 +204,7 @@
 	return j.history[len(j.history)-1].tallies
 }
 
-// sent returns the requests of all gateways.
+// totalSent returns the number of attempts that all gateways sent.
 func (j *Judge) totalSent() float64 {
 	total := 0.0
 	for _, each := range j.latestTallies() {
@@ -207,8 +213,8 @@
 	return total
 }
 
-// standingOf returns the tallies of a route at the standing version, and those of its group
-// whose work takes the longest.
+// standingTallies returns the sum of a route's tallies at the standing version, and the tally of
+// the group with the longest mean processing time.
 func (j *Judge) standingTallies(route uint32) (sum, slowest Tally) {
 	for group := range uint8(standingGroups) {
 		each := j.latestTallies()[Key{Order: j.id, Route: route, Group: group}]
@@ -220,7 +226,7 @@
 	return sum, slowest
 }
 
-// longestWhole returns the time that hardly any request of a route exceeds at the standing
+// requestTimeBound returns a time that hardly any request of the route exceeds at the standing
 // version.
 func (j *Judge) requestTimeBound(route uint32) (bound time.Duration, known bool) {
 	each, _ := j.standingTallies(route)
@@ -232,8 +238,9 @@
 	return time.Duration((mean + drainDeviations*math.Sqrt(variance)) * float64(time.Millisecond)), true
 }
 
-// meanWork returns the mean time of a route's work at the standing version, without its slowest
-// group where there is another: a slow machine mustn't excuse a slow version.
+// meanProcessingTime returns the route's mean processing time at the standing version. It leaves
+// out the slowest group if the others have enough answers: a slow machine must not hide a slow
+// candidate.
 func (j *Judge) meanProcessingTime(route uint32) (mean time.Duration, known bool) {
 	sum, slowest := j.standingTallies(route)
 	if others := sum.Minus(slowest); others.Timed >= minTimed {
@@ -242,10 +249,11 @@
 	return sum.meanProcessingTime(), sum.Timed >= minTimed
 }
 
-// fewestTimed is how many answers of the standing version make a mean to compare with.
+// minTimed is the number of timed answers of the standing version that make their mean usable for
+// comparison.
 const minTimed = 3
 
-// Look weighs the evidence, and tells whether the candidate is given up by it.
+// Evaluate evaluates the evidence, and reports whether the candidate is abandoned for it.
 func (j *Judge) Evaluate(now time.Time) (abandoned bool) {
 	if n := len(j.history); n > 0 && now.Sub(j.history[n-1].at) < evaluationInterval {
 		return false
@@ -266,8 +274,8 @@
 	return j.abandoned
 }
 
-// thinned drops moments whose neighbours are nearly as old: spans that begin there tell the
-// same. What is left grows with the logarithm of the time.
+// thinHistory drops snapshots whose neighbours are nearly as old, since spans that begin there
+// show the same. The number that remains grows with the logarithm of the time.
 func thinHistory(history []snapshot) []snapshot {
 	now := history[len(history)-1].at
 	for i := len(history) - 2; i > 0; i-- {
@@ -279,8 +287,9 @@
 	return history
 }
 
-// isDoubtful tells whether anything speaks against the candidate, on whatever route: one is
-// enough to revert it, and what the others get counts as exposure.
+// isDoubtful reports whether the doubt about the candidate exceeds maxDoubt on any route. Then all
+// routes send it only the canary share: one bad route is enough to revert the candidate, and what
+// the other routes send to it counts as exposure.
 func (j *Judge) isDoubtful() bool {
 	for _, doubt := range j.doubts {
 		if doubt > maxDoubt {
@@ -290,7 +299,7 @@
 	return false
 }
 
-// since returns what was counted after an earlier moment.
+// increasesSince returns what was counted since an earlier snapshot.
 func increasesSince(all, before map[Key]Tally) map[Key]Tally {
 	increases := make(map[Key]Tally, len(all))
 	for key, each := range all {
@@ -303,7 +312,7 @@
 	return slices.SortedFunc(maps.Values(tallies), Tally.compare)
 }
 
-// Due returns the state that the store should show by now.
+// DueState returns the state that the store should hold by now.
 func (j *Judge) DueState(now time.Time) State {
 	elapsed := now.Sub(j.beganAt)
 	switch {
@@ -312,10 +321,11 @@
 	case j.abandoned:
 		return Reverted
 	case elapsed >= j.order.Duration && !j.HasCandidates():
-		// There is nothing to move to, and the standing back ends mustn't be stopped.
+		// There is nothing to move to, and the standing back ends must not be stopped.
 		return Reverted
 	case elapsed >= j.completeAt() && j.isDoubtful():
-		// There is no time left to find out, and callers are served well as it is.
+		// There is no time left to resolve the doubt, and the standing version serves callers
+		// well.
 		return Reverted
 	case elapsed >= j.completeAt() && len(j.Waits(now)) == 0:
 		return Completed
@@ -324,10 +334,10 @@
 	}
 }
 
-// Wait is what an order waits for, for status and logs.
+// Wait is a condition that an order waits for, as shown in status and logs.
 type Wait string
 
-// What an order may wait for.
+// The conditions that an order may wait for.
 const (
 	WaitCandidates Wait = "back ends of the target version"
 	WaitGateways   Wait = "tallies of the other gateways"
@@ -335,7 +345,7 @@
 	WaitStanding   Wait = "requests that end at the standing version"
 )
 
-// Awaits returns what must be before a good candidate's verdict is written.
+// Waits returns the conditions that must be met before a good candidate's verdict is written.
 func (j *Judge) Waits(now time.Time) []Wait {
 	var waits []Wait
 	if !j.HasCandidates() {
@@ -344,8 +354,9 @@
 	if !j.hasQuorum(now) {
 		waits = append(waits, WaitGateways)
 	}
-	// A gateway that has just started knows nothing of what the candidate did before: it completes
-	// nothing that it hasn't seen tried itself, by when it hears what its peers have found.
+	// A gateway that has just started knows nothing of how the candidate did before. So it
+	// completes nothing until it has seen the candidate tried itself; by then it has learned what
+	// its peers found.
 	inFlight, routesPending := uint32(0), now.Sub(j.beganAt) < j.probationEnd()+j.rampTime()+minRamp
 	for key, each := range j.sum(now) {
 		routesPending = routesPending || now.Sub(j.beganAt) < j.fullAt(key.Route)+minRamp
--- a/internal/rollout/judge_test.go
+++ b/internal/rollout/judge_test.go
@@ -20,8 +20,8 @@
 	return j
 }
 
-// Whatever the number of gateways, between which nobody hears of anybody: all together keep the
-// exposure, also where each of them sees a request every few seconds.
+// Gateways that have no tallies of their peers together keep the exposure limits, whatever their
+// number, even if each of them gets a request only every few seconds.
 func TestExposureLimitHoldsWithoutPeerTallies(t *testing.T) {
 	for _, gateways := range []int{1, 7, 357, 1000} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
@@ -44,7 +44,8 @@
 	}
 }
 
-// A candidate that any gateway found bad gets nothing more anywhere, and there is no way back.
+// A candidate that any gateway found bad gets no more requests from the others either, and a
+// later mark doesn't undo that.
 func TestAbandonedCandidateGetsNoRequests(t *testing.T) {
 	is := is.New(t)
 	one, other := newJudge(2), newJudge(2)
@@ -59,7 +60,8 @@
 	is.Equal(other.DueState(start.Add(2*time.Second)), Reverted)
 }
 
-// The verdict that stands is everybody's, whatever a gateway found itself.
+// The verdict in the store binds every gateway, whatever the gateway found itself, and is never
+// undone.
 func TestStoredVerdictIsFinal(t *testing.T) {
 	is := is.New(t)
 	j := newJudge(1)
@@ -67,11 +69,12 @@
 	j.SetState(Completed)
 	is.Equal(j.DueState(start), Completed)
 	is.True(!j.Allows(Standing))
-	j.SetState(InProgress) // a stale word
+	j.SetState(InProgress) // a stale state from the store
 	is.Equal(j.State(), Completed)
 }
 
-// An order is as old as the gateway that knows it longest says.
+// Gateways take the oldest age of an order from their peers' marks, and ignore marks of other
+// orders.
 func TestMarksPropagateOldestOrderAge(t *testing.T) {
 	is := is.New(t)
 	old, young := newJudge(2), newJudge(2)
@@ -85,7 +88,7 @@
 	is.Equal(old.Age(now), 6*time.Second)
 }
 
-// The standing back ends are stopped by the verdict: it waits for what runs there.
+// The verdict makes the standing back ends stop, so it waits for the requests that run there.
 func TestCompletionWaitsForRequestsAtStandingVersion(t *testing.T) {
 	is := is.New(t)
 	j := newJudge(1)
@@ -98,8 +101,8 @@
 	is.Equal(j.DueState(late), Completed)
 }
 
-// What machines do says nothing of a version: one group that fails isn't judged by, on either
-// side, and answers that never came aren't counted.
+// One group of back ends that fails, and attempts that broke off without an answer, don't count
+// against a version.
 func TestOneFailingBackEndIsNoFinding(t *testing.T) {
 	is := is.New(t)
 	j := newJudge(1)
@@ -120,7 +123,8 @@
 	is.True(!j.isDoubtful())
 }
 
-// Tallies of other builds, or of other orders, are passed over.
+// Tallies of other orders, and of groups that only another build has, cause no panic in the
+// evaluation and the report.
 func TestUnknownTalliesDoNotPanic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		j := newJudge(3)
@@ -138,8 +142,8 @@
 	})
 }
 
-// A gateway that starts after an order's time, and has heard of nobody yet, knows nothing of the
-// candidate: it must see it tried before it may say that all is well.
+// A gateway that starts after an order's deadline, and has learned of no finding yet, knows
+// nothing about the candidate: it must see the candidate tried before it completes the rollout.
 func TestLateGatewayWaitsForProbation(t *testing.T) {
 	is := is.New(t)
 	began := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -152,10 +156,10 @@
 	is.Equal(j.Waits(started), []Wait{WaitRoutes})
 	tried := started.Add(order.Duration/probationDivisor + j.rampTime() + minRamp)
 	is.Equal(j.DueState(tried.Add(-time.Millisecond)), InProgress)
-	is.Equal(j.DueState(tried), Completed) // nobody asks for the service, and nobody knows otherwise
+	is.Equal(j.DueState(tried), Completed) // no requests and no peer with a finding
 }
 
-// answer lets one attempt end at once.
+// recordAttempt starts an attempt and ends it at the same time.
 func (j *Judge) recordAttempt(at time.Time, side Side, backEnd int, fails bool) {
 	attempt := j.StartAttempt(at, side, AttemptFacts{Route: "r", BackEnd: fmt.Sprint("b", backEnd), First: true})
 	if fails {
@@ -166,10 +170,11 @@
 	attempt.End(at, true)
 }
 
-// While its service is in trouble, of whatever version, a bad version can't be told from it. That
-// must not excuse it later: none that fails six in ten gets more, or is completed.
+// While the whole service is in trouble, a bad candidate can't be distinguished from the standing
+// version. Afterwards a candidate that fails six in ten requests must be in doubt or abandoned,
+// and must be reverted at the deadline.
 func TestBadCandidateIsRevertedAfterServiceTrouble(t *testing.T) {
-	for name, standingRecovers := range map[string]bool{"standing one recovers": true, "standing one gets nothing more": false} {
+	for name, standingRecovers := range map[string]bool{"standing version recovers": true, "standing version gets no more requests": false} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			j := newJudge(1)
@@ -192,7 +197,8 @@
 	}
 }
 
-// A version that answers well goes on, though its service had trouble before.
+// A candidate that answers well after earlier trouble of the whole service is neither abandoned
+// nor in doubt.
 func TestGoodCandidateIsNotBlamedForServiceTrouble(t *testing.T) {
 	is := is.New(t)
 	j := newJudge(1)
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -1,18 +1,19 @@
-// Package rollout judges the move of a service's traffic to back ends of another version,
-// the candidate, while those of the version before, the standing one, serve on.
+// Package rollout decides how a service's traffic moves to back ends of another version, the
+// candidate, while back ends of the version before, the standing version, keep serving.
 //
-// A Judge runs in every gateway. It tells for each request which of the two versions may take
-// it, adds up how their answers turn out, and says when the move is to be completed or
-// reverted. Three promises bind it:
+// A Judge runs in every gateway. It decides for each request which of the two versions may get
+// it, counts how their answers turn out, and determines when the rollout is to be completed or
+// reverted. It gives three guarantees:
 //
-//   - Exposure: until the operators' deadline a bad candidate gets at most a share of all
-//     requests of the service, and a few more. A gateway draws each request by lot, so the
-//     share holds in expectation for any number of gateways, whether they hear of each other
-//     or not; nothing is split that each gateway would round up.
-//   - A candidate that was found bad gets nothing more: every gateway that finds or hears so
-//     keeps to it, and there is no way back within the order.
-//   - The verdict is one: it is written to the platform's store under a condition, and the one
-//     that stands there is everybody's, whatever a gateway found itself.
+//   - Exposure: until the operators' deadline a bad candidate gets at most a fixed share of the
+//     service's requests plus a fixed number. Each request is assigned by a hash of its ID, so
+//     the share holds in expectation for any number of gateways, whether or not they hear from
+//     each other: there is no budget to divide among gateways, of which each would round up its
+//     part.
+//   - A candidate that was found bad gets no more requests: every gateway that finds it bad or
+//     learns of it stops sending to it, and nothing undoes that within the order.
+//   - There is one verdict: it is written to the platform's store by a conditional write, and the
+//     stored verdict binds every gateway, whatever the gateway found itself.
 //
 // The package does no I/O and reads no clock.
 package rollout
@@ -23,30 +24,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is how far the store says that an order has come.
+// State is the progress of an order, as recorded in the store.
 type State uint8
 
-// The states of an order. They only advance: a verdict isn't taken back.
+// The states of an order. They only advance: a verdict is never undone.
 const (
-	// Ordered: nobody has taken it up.
+	// Ordered: no gateway has started it.
 	Ordered State = iota
-	// InProgress: it is being tried.
+	// InProgress: the candidate is being tried.
 	InProgress
 	// Completed: the candidate serves alone, and the standing back ends stop at once.
 	Completed
-	// Reverted: the candidate is given up.
+	// Reverted: the candidate is abandoned.
 	Reverted
 )
 
-// String names the state for logs and status.
+// String returns the state's name in logs and status.
 func (s State) String() string {
 	return [...]string{"ordered", "in_progress", "completed", "reverted"}[min(s, Reverted)]
 }
 
-// IsVerdict tells whether the state ends the order.
+// IsVerdict reports whether the state ends the order.
 func (s State) IsVerdict() bool { return s == Completed || s == Reverted }
 
-// Order is an operator's order to move a service's traffic.
+// Order is an operator's order to move a service's traffic to another version.
 type Order struct {
 	// Service is the service's name, and Target the version to move to.
 	Service string
@@ -55,7 +56,7 @@
 	Duration time.Duration
 }
 
-// ID stands for the order in tallies and marks.
+// ID returns the hash that identifies the order in tallies and marks.
 func (o Order) ID() uint32 {
 	return uint32(xxhash.Sum64String(o.Service + "\x00" + o.Target + "\x00" + o.Duration.String()))
 }
@@ -63,15 +64,15 @@
 // Side is one of the two versions.
 type Side uint8
 
-// The sides.
+// The two sides of a rollout.
 const (
-	// Standing are all back ends of the service that aren't of the target version.
+	// Standing is all back ends of the service that aren't of the target version.
 	Standing Side = iota
-	// Candidate are those of the target version.
+	// Candidate is the back ends of the target version.
 	Candidate
 )
 
-// String names the side for logs and status.
+// String returns the side's name in logs and status.
 func (s Side) String() string {
 	if s == Candidate {
 		return "candidate"
@@ -79,19 +80,19 @@
 	return "standing"
 }
 
-// Limits are the operators' bounds on the exposure to a bad candidate: in the whole time of
-// the order at most Share of the service's requests, and Extra more.
+// Limits are the operators' limits on the exposure to a bad candidate: over the whole duration of
+// the order, at most the fraction Share of the service's requests plus Extra requests.
 type Limits struct {
 	Share float64
 	Extra float64
 }
 
-// Mark is what gateways tell each other of an order beside tallies.
+// Mark is what gateways send each other about an order, in addition to tallies.
 type Mark struct {
 	// Order is the order's ID.
 	Order uint32 `cbor:"1,keyasint"`
-	// AgeMillis is how long ago the teller knows it to have been given.
+	// AgeMillis is the age of the order, as far as the sender knows.
 	AgeMillis int64 `cbor:"2,keyasint"`
-	// Abandoned is true once any gateway found the candidate bad.
+	// Abandoned is true once any gateway has found the candidate bad.
 	Abandoned bool `cbor:"3,keyasint,omitempty"`
 }
--- a/internal/rollout/others.go
+++ b/internal/rollout/remote.go
@@ -3,14 +3,16 @@
 import "time"
 
 const (
-	// freshTallies is the age to which others' tallies count: several of their periods.
+	// maxTallyAge is the age up to which tallies of other gateways count: several times the
+	// interval at which they are sent.
 	maxTallyAge = 1500 * time.Millisecond
-	// heardThirds is the part of the fleet, in thirds, that must be heard to judge for all.
+	// quorumThirds is the part of the fleet, in thirds, whose tallies are needed to judge for all
+	// of it.
 	quorumThirds = 2
 )
 
-// others holds what the other gateways have counted: each one's own in a small fleet, their
-// sums in a large one.
+// remoteTallies holds what the other gateways have counted: the tallies of each one in a small
+// fleet, their sums in a large one.
 type remoteTallies struct {
 	gateways int
 	peers    map[string]peerTallies
@@ -42,7 +44,7 @@
 	return !r.totalsAt.IsZero() && now.Sub(r.totalsAt) <= maxTallyAge
 }
 
-// heard tells whether enough of the other gateways are heard.
+// hasQuorum reports whether fresh tallies cover enough of the fleet.
 func (r *remoteTallies) hasQuorum(now time.Time) bool {
 	if r.totalsAreFresh(now) {
 		return 3*r.counted >= quorumThirds*max(r.expected, r.gateways)
@@ -56,7 +58,7 @@
 	return 3*reporting >= quorumThirds*r.gateways
 }
 
-// sum adds up what is fresh.
+// sum returns the sums of the fresh tallies.
 func (r *remoteTallies) sum(now time.Time) map[Key]Tally {
 	total := map[Key]Tally{}
 	if r.totalsAreFresh(now) {
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -6,46 +6,47 @@
 	"time"
 )
 
-// Report is what a gateway knows of an order, for operators.
+// Report is what a gateway knows about an order, for operators.
 type Report struct {
 	Order Order
-	// Age is how long ago it was given, State what the store says, and Abandoned whether the
-	// candidate was found bad.
+	// Age is the time since the order was given, State the last known state in the store.
+	// Abandoned is true if the candidate was found bad.
 	Age       time.Duration
 	State     State
 	Abandoned bool
-	// Finding is why, where this gateway found so.
+	// Finding is the reason, if this gateway found it.
 	Finding *Finding
-	// Sent counts attempts at the service since the order, Exposed those at the candidate.
+	// Sent counts the attempts of all gateways since the order, and Exposed those sent to the
+	// candidate.
 	Sent    int
 	Exposed int
-	// UnderWay are those that run at the standing version.
+	// InFlight counts the attempts that are running at the standing version.
 	InFlight int
-	// Awaits is what must be before the order is completed.
+	// Waits are the conditions that must be met before the order is completed.
 	Waits []Wait
-	// Routes are those with requests, by key.
+	// Routes are the routes with requests, ordered by key.
 	Routes []RouteReport
 }
 
-// RouteReport is what is known of one route.
+// RouteReport is the evidence about the candidate on one route.
 type RouteReport struct {
-	// Route is the route's key, and Share the part of its requests that go to the candidate.
+	// Route is the route's key, and Share the fraction of its requests that go to the candidate.
 	Route uint32
 	Share float64
-	// Candidate and Standing are the tallies of both sides, and Doubt how much speaks against
-	// the candidate.
+	// Candidate and Standing are the tallies of the two sides. Doubt is the evidence against the
+	// candidate, as a log-likelihood ratio.
 	Candidate Tally
 	Standing  Tally
 	Doubt     float64
 }
 
-// Age returns how long ago the order was given.
+// Age returns the time since the order was given.
 func (j *Judge) Age(now time.Time) time.Duration { return now.Sub(j.beganAt) }
 
 // Finding returns why this gateway found the candidate bad, or nil.
 func (j *Judge) Finding() *Finding { return j.finding }
 
-// Report returns what is known by the last look.
+// Report returns a report based on the tallies of the last evaluation.
 func (j *Judge) Report(now time.Time) Report {
 	report := Report{
 		Order: j.order, Age: j.Age(now), State: j.state, Abandoned: j.abandoned, Finding: j.finding,
--- a/internal/rollout/crowdtable_test.go
+++ b/internal/rollout/scenarios_test.go
@@ -11,27 +11,28 @@
 	_ "github.com/harriernotch/harriernotch/internal/fixedseed"
 )
 
-var scenarioRuns = flag.Int("rollouts", 25, "roll-outs of each kind that TestDrawnRollouts plays")
+var scenarioRuns = flag.Int("rollouts", 25, "number of rollouts of each kind that TestRandomRolloutsKeepExposureAndVerdict simulates")
 
-// kindResult sums up the roll-outs of one kind.
+// kindSummary summarizes the rollouts of one kind.
 type kindSummary struct {
 	runs, overExposed, exposedLate, completed, completedBad, reverted, onTime, cutOff int
 	shares                                                                            []float64
 	revertAfter                                                                       []time.Duration
 }
 
-// TestDrawnRollouts plays drawn roll-outs of each kind: none may expose more than the limits
-// allow, nor send on long after the fiftieth bad answer, nor complete a version that gave fifty;
-// no good one may be reverted. A bad version that gave fewer may be completed: it can't be told
-// from a good one within the exposure.
+// TestRandomRolloutsKeepExposureAndVerdict simulates random rollouts of each kind. No bad version
+// may exceed the exposure limits, get requests more than 5 s after its fiftieth bad answer, or be
+// completed after that many. No good version may be reverted, and no completion may cut off a
+// request. A bad version that gave fewer bad answers may be completed: it can't be distinguished
+// from a good one within the allowed exposure.
 func TestRandomRolloutsKeepExposureAndVerdict(t *testing.T) {
 	for _, kind := range []string{"good", "at once", "later", "on one route", "under load", "slow"} {
 		sum := runScenarios(t, kind, *scenarioRuns)
-		t.Logf("%-13s runs %d: over the exposure %d, later than 5 s after the fiftieth %d, completed %d, reverted %d, by the deadline %d, streams cut %d, exposure median %.3f worst %.3f, reverted after median %v",
+		t.Logf("%-13s runs %d: over the exposure %d, exposed later than 5 s after the fiftieth bad answer %d, completed %d, reverted %d, by the deadline %d, requests cut off %d, exposure median %.3f worst %.3f, reverted after median %v",
 			kind, sum.runs, sum.overExposed, sum.exposedLate, sum.completed, sum.reverted, sum.onTime, sum.cutOff,
 			quantile(sum.shares, 0.5), quantile(sum.shares, 1), quantile(sum.revertAfter, 0.5))
 		if sum.overExposed+sum.exposedLate+sum.completedBad+sum.cutOff > 0 || kind == "good" && sum.reverted > 0 {
-			t.Errorf("%s: %d over the exposure, %d late, %d found bad and completed, %d streams cut, %d reverted", kind, sum.overExposed, sum.exposedLate, sum.completedBad, sum.cutOff, sum.reverted)
+			t.Errorf("%s: %d over the exposure, %d exposed late, %d completed after the fiftieth bad answer, %d requests cut off, %d reverted", kind, sum.overExposed, sum.exposedLate, sum.completedBad, sum.cutOff, sum.reverted)
 		}
 	}
 }
@@ -68,7 +69,8 @@
 	k.runs++
 	isBad := drawn.kind != "good"
 	allowed := testLimits.Share*float64(result.sent) + testLimits.Extra
-	// A bad version that never showed it, for want of load, was a good one.
+	// A bad version that gave fewer than ten bad answers, such as for lack of load, counts as a
+	// good one.
 	shownBad := isBad && result.bad >= 10
 	if isBad {
 		k.shares = append(k.shares, float64(result.exposed)/allowed)
@@ -78,14 +80,14 @@
 		}
 		if result.lastExposed > int(5*time.Second/tick) {
 			k.exposedLate++
-			remark = "late after the fiftieth"
+			remark = "exposed late after the fiftieth bad answer"
 		}
 	}
 	switch result.verdict {
 	case Completed:
 		k.completed++
 		if shownBad {
-			remark += " bad one completed"
+			remark += " bad version completed"
 		}
 		if isBad && result.fiftieth > 0 {
 			k.completedBad++
@@ -94,7 +96,7 @@
 		k.reverted++
 		k.revertAfter = append(k.revertAfter, result.verdictAt)
 		if !isBad {
-			remark += " good one reverted"
+			remark += " good version reverted"
 		}
 	}
 	if result.verdict.IsVerdict() && result.verdictAt <= drawn.duration {
--- a/internal/rollout/sequential.go
+++ b/internal/rollout/sequential.go
@@ -6,59 +6,64 @@
 	"slices"
 )
 
-// The test asks, for failures and for slow answers, for each route and for all together,
-// whether the candidate's part of bad answers is that of the standing version or higher by one
-// of worseSteps. It is a sequential probability ratio test, looked at whenever tallies change, over
-// the whole order and over spans from several earlier moments until now: a version that turns
-// bad late isn't judged by its good beginning.
+// The test decides whether the candidate's rate of bad answers is acceptable, given the standing
+// version's rate, or higher by one of rateIncreases. It does so for failures and for slow
+// answers, for each route and for all routes together. It is a sequential probability ratio test.
+// It is repeated as tallies change, over the whole order and over the spans from several earlier
+// times until now, so that the good beginning of a version that turns bad late doesn't count in
+// its favour.
 //
-// On either side the group of back ends with the most bad answers is left out: one machine that
-// fails, which may strike any version, can't speak for its version, nor excuse the other one; a
-// bad version shows on all of them.
-
-// worseSteps are the differences that matter to the operators: a candidate whose answers are bad
-// more often by the first is found out within some twenty of them, and one that is so by the
-// second, as it is where a version is bad now and then, before its fiftieth bad one. Smaller ones
-// take more answers than a roll-out may expose.
+// On each side the group of back ends with the most bad answers is left out. A single machine
+// that fails, as machines of any version may, must neither count against its version nor excuse
+// the other one; a bad version shows on all of its machines.
+
+// rateIncreases are the differences that matter to operators. A candidate whose rate of bad
+// answers is higher by the first is detected within about twenty answers. One whose rate is
+// higher by the second, such as a version that fails intermittently, is detected before its
+// fiftieth bad answer. Smaller differences take more answers than a rollout may expose.
 var rateIncreases = [...]float64{0.15, 0.05}
 
 const (
-	// evidence is the log likelihood ratio at which a candidate counts as bad: by Wald's bound
-	// a look errs once in e^9, some 8,000. About a hundred looks on ten hypotheses and eight
-	// spans, which depend on each other, stay below the one good version in a hundred that may
-	// be reverted.
+	// findingThreshold is the log-likelihood ratio from which a candidate counts as bad. By
+	// Wald's bound one evaluation errs once in e^9, about 8,000 times. About a hundred
+	// evaluations of ten hypotheses over eight spans, which aren't independent, stay below the
+	// limit that at most one good version in a hundred may be reverted.
 	findingThreshold = 9
-	// mostDoubt is the log likelihood ratio up to which a candidate gets more of a route, and
-	// may be completed: e^2 is some seven to one that it is bad. What is still in doubt near the
-	// deadline is reverted, since a bad version that serves alone harms every caller and a good
-	// one that has to wait harms none.
+	// maxDoubt is the log-likelihood ratio up to which a candidate may get a larger share and may
+	// be completed: e^2 is odds of about seven to one that it is bad. A candidate that is still
+	// in doubt near the deadline is reverted, since a bad version that serves alone harms every
+	// caller, and a good one that has to wait harms none.
 	maxDoubt = 2
-	// worseMargin and worseFactor are what a candidate may be worse by without being bad: the
-	// standing version is measured too, and its part varies from one machine to another.
+	// A candidate whose rate is at most toleranceFactor times the standing version's plus
+	// toleranceMargin isn't bad: the standing version's rate is only an estimate, and varies
+	// between machines.
 	toleranceMargin = 0.01
 	toleranceFactor = 1.5
-	// spanDoubt is how much more must speak against a candidate in a span than over the whole
-	// time to count as doubt: one of eight spans holds a run of bad luck more often than not.
+	// spanDiscount is subtracted from the ratio over a span, but not from that over the whole
+	// order, before it counts as doubt: more often than not, one of eight spans contains a run of
+	// bad luck.
 	spanDiscount = 3
-	// priorAnswers and priorBad stand for what is known of a standing version without answers.
+	// priorAnswers and priorBad are the prior for a standing version without answers.
 	priorAnswers = 10
 	priorBad     = 0.5
-	// momentPriorBad is added to the failures of the standing version in a short span: thirty
-	// answers without one bear out 5 in 100, and must not convict a candidate with hundreds.
+	// latestPriorBad is added to the failures of the standing version in the latest span. Thirty
+	// answers without a failure are consistent with a rate of 5 in 100, and must not be the
+	// reason to doubt a candidate with hundreds of answers.
 	latestPriorBad = 1.5
-	// leastControl is how many answers of the standing version in the last seconds let it be
-	// compared by these alone.
+	// minControlAnswers is the number of answers of the standing version in a span that are
+	// enough to compare with that span alone.
 	minControlAnswers = 30
-	// mostBad is the part of bad answers of the standing version above which nothing is judged:
-	// the service is in trouble, whatever its version.
+	// maxJudgedRate is the rate of bad answers of the standing version above which there is no
+	// finding: the whole service is in trouble, whatever the version.
 	maxJudgedRate = 0.6
-	// mostExcused is the part of bad answers above which no candidate gets more, whatever the
-	// standing version does: trouble of the whole service, while it lasts, says nothing good of
-	// either, and afterwards the standing version may have no answers left to compare with.
+	// maxAcceptableRate limits the acceptable rate of failures in the latest span: a candidate
+	// that fails more often gets no larger share, whatever the standing version's rate. While the
+	// whole service is in trouble, that is no evidence in favour of either version; afterwards
+	// the standing version may have no answers left to compare with.
 	maxAcceptableRate = 0.3
 )
 
-// proportion is so many bad ones of so many answers.
+// proportion is a number of bad answers among a total number.
 type proportion struct {
 	bad   float64
 	total float64
@@ -72,11 +77,12 @@
 	return proportion{bad: p.bad - other.bad, total: p.total - other.total}
 }
 
-// rate returns the part that is bad, with the prior.
+// rate returns the estimated rate of bad answers, including the prior.
 func (p proportion) rate() float64 { return (p.bad + priorBad) / (p.total + priorAnswers) }
 
-// likelihoodRatio returns, as a logarithm, how much better the candidate's bad answers are
-// explained by a bad version than by the standing version's part of them.
+// logLikelihoodRatio returns the log-likelihood ratio of a bad candidate to one whose rate is
+// within the tolerance of the standing version's rate. It returns 0 if the standing version's
+// rate is above maxJudgedRate.
 func logLikelihoodRatio(candidate, standing proportion) float64 {
 	standingRate := standing.rate()
 	if standingRate > maxJudgedRate {
@@ -85,7 +91,9 @@
 	return logRatioAbove(candidate, standingRate*toleranceFactor+toleranceMargin)
 }
 
-// ratioAbove returns the same for a part of bad answers that is bearable.
+// logRatioAbove returns how much better the candidate's answers are explained by a rate that is
+// higher than acceptable by one of rateIncreases than by the acceptable rate: the highest of the
+// log-likelihood ratios, and at least 0.
 func logRatioAbove(candidate proportion, acceptable float64) float64 {
 	highest := 0.0
 	for _, increase := range rateIncreases {
@@ -96,23 +104,23 @@
 	return highest
 }
 
-// Finding is why a candidate counts as bad.
+// Finding is the reason why a candidate counts as bad.
 type Finding struct {
-	// Route is the route's key, 0 for all routes together.
+	// Route is the route's key, or 0 for all routes together.
 	Route uint32 `json:"route"`
-	// What is "failed" or "slow".
+	// Measure is "failed" or "slow".
 	Measure string `json:"what"`
-	// Bad of Answers are the candidate's, without the back end that is left out; UsualBad of
-	// UsualAnswers the standing version's.
+	// Bad and Answers count the candidate's answers without the group of back ends that is left
+	// out, StandingBad and StandingAnswers those of the standing version.
 	Bad             int `json:"bad"`
 	Answers         int `json:"answers"`
 	StandingBad     int `json:"usual_bad"`
 	StandingAnswers int `json:"usual_answers"`
-	// Ratio is the logarithm of the likelihood ratio.
+	// Ratio is the log-likelihood ratio.
 	Ratio float64 `json:"likelihood_ratio"`
 }
 
-// measure is what is tested.
+// measure is a kind of bad answer that is tested for.
 type measure uint8
 
 // The measures.
@@ -122,10 +130,10 @@
 	measureCount
 )
 
-// String names the measure in findings.
+// String returns the measure's name in findings.
 func (m measure) String() string { return [...]string{"failed", "slow"}[m] }
 
-// pick returns what a tally says of the measure.
+// proportionOf returns the tally's proportion of bad answers by the measure.
 func (m measure) proportionOf(t Tally) proportion {
 	if m == failed {
 		return proportion{bad: float64(t.Failed), total: float64(t.Answers)}
@@ -133,11 +141,11 @@
 	return proportion{bad: float64(t.Slow), total: float64(t.Timed)}
 }
 
-// span is what was counted in a span of time, added up for the test: by route, with 0 for all
-// together, and by group.
+// span holds what was counted in a time span, summed up for the test: by route, with key 0 for
+// all routes together, and by group.
 type span map[uint32]*groupSums
 
-// groupSums are the sums of each group of back ends, by measure.
+// groupSums holds the sums of each group of back ends, by measure.
 type groupSums [standingGroups + candidateGroups][measureCount]proportion
 
 func newSpan(tallies []Tally) span {
@@ -157,8 +165,8 @@
 	return sums
 }
 
-// withoutWorst adds up the groups of one side of a route but the one with the most bad answers. A
-// group that is alone is the version.
+// withoutWorst returns the sum of the groups of one side of a route, without the group that has
+// the most bad answers. A group that is the only one with answers isn't left out.
 func (s span) withoutWorst(route uint32, m measure, side Side) proportion {
 	groups := s[route]
 	if groups == nil {
@@ -187,9 +195,9 @@
 	return sum
 }
 
-// find returns what speaks against the candidate by the tallies of several spans, of which the
-// first is the whole time: the first finding that suffices, or nil, and the doubt on each route,
-// with 0 for all routes together.
+// evaluateSpans evaluates the evidence against the candidate over several spans, of which the
+// first is the whole order. It returns the first sufficient finding, or nil, and the doubt on
+// each route, with key 0 for all routes together.
 func evaluateSpans(spans []span) (finding *Finding, doubts map[uint32]float64) {
 	doubts = map[uint32]float64{}
 	for _, route := range slices.Sorted(maps.Keys(spans[0])) {
@@ -215,10 +223,11 @@
 	return finding, doubts
 }
 
-// doubtOfTheMoment is what speaks against the candidate by its failures in the latest span alone,
-// where that is as much as a finding needs. The standing version's are those of the same span, if
-// there are enough: trouble that is over excuses nothing. It is no finding, since so short a span
-// may hold a moment's bad luck, but while it lasts the candidate gets no more and isn't completed.
+// latestDoubt returns the doubt because of the candidate's failures in the latest span alone, or
+// 0 if the ratio is below findingThreshold. The failures are compared with the standing version's
+// rate in the same span, if it has enough answers there, so that trouble that is over excuses
+// nothing. This is no finding, since so short a span may contain a short run of bad luck. But
+// while it lasts the candidate gets no larger share and isn't completed.
 func (s span) latestDoubt(route uint32, overall proportion) float64 {
 	standing := s.withoutWorst(route, failed, Standing)
 	standing.bad += latestPriorBad
@@ -233,8 +242,9 @@
 	return ratio
 }
 
-// test compares the sides in a span. In a short one, above all once most requests are moved, a
-// few answers without a bad one say little of what is usual: then what always was counts.
+// testSpan compares the two sides over a span. In a short span, above all once most requests go
+// to the candidate, a few answers without a bad one say little about the standing version's usual
+// rate. So the rate over the whole order is used if the span has too few answers or a lower rate.
 func testSpan(s span, route uint32, m measure, overall proportion) Finding {
 	standing := s.withoutWorst(route, m, Standing)
 	if standing.total < minControlAnswers || standing.rate() < overall.rate() {
--- a/internal/rollout/crowd_test.go
+++ b/internal/rollout/simulatedfleet_test.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// crowd is a fleet of judges in front of the back ends of both versions, on a virtual clock
-// that ticks.
+// simulatedFleet is a fleet of judges in front of back ends of both versions, on a virtual clock
+// with discrete ticks.
 type simulatedFleet struct {
 	random   *rand.Rand
 	scenario scenario
 	judges   []*Judge
-	learnsAt []int // the tick at which each gateway has heard of the order
+	learnsAt []int // the tick at which each gateway learns of the order
 	reported []map[Key]Tally
 	events   [][]func(now time.Time)
 	deadline int
-	// candidateLoad and standingLoad are what is under way.
+	// candidateInFlight and standingInFlight are the numbers of running attempts at each version.
 	candidateInFlight, standingInFlight int
 	result                              scenarioResult
 }
 
-// tick is the resolution of the crowd's clock.
+// tick is the resolution of the virtual clock.
 const tick = 10 * time.Millisecond
 
-// roundTicks is the time between two rounds of tallies, and lateTicks how old their sums are.
+// exchangeTicks is the time between two exchanges of tallies, and propagationTicks the time until
+// every gateway knows of a verdict in the store.
 const (
 	exchangeTicks    = 25
 	propagationTicks = 20
 )
 
-// crowdDeadline is how long a caller waits at most.
+// requestTimeout limits the time of a request.
 const requestTimeout = 12 * time.Second
 
-// drawnRollout is one roll-out as it was drawn.
+// scenario holds the random parameters of one rollout.
 type scenario struct {
 	gateways  int
 	rate      float64
@@ -45,22 +46,24 @@
 	onset     time.Duration
 	badRoute  int
 	loadLimit float64
-	// greySide has one machine that fails by itself, and slowSide one that is slow.
+	// If grey is set, one machine of greySide fails by itself. If slow is set, one machine of
+	// slowSide is slow.
 	grey, slow         bool
 	greySide, slowSide Side
-	// pathFailures are failures of requests wherever they run.
+	// pathFailures is the rate of requests that fail at every back end.
 	pathFailures float64
-	// startDelay is when the candidate's back ends appear.
+	// startDelay is the time until the candidate's back ends appear.
 	startDelay time.Duration
 }
 
 type scenarioResult struct {
 	sent, exposed, bad int
-	// lastExposed is the last send to the candidate after its fiftieth bad answer, from that.
+	// fiftieth is the tick of the candidate's fiftieth bad answer, and lastExposed the number of
+	// ticks from there to the last attempt at the candidate.
 	fiftieth, lastExposed int
 	verdict               State
 	verdictAt             time.Duration
-	cutOff                int // requests that the end of the standing back ends cut off
+	cutOff                int // requests that ran at the standing back ends when these were stopped
 }
 
 var simulatedRoutes = []struct {
@@ -111,7 +114,8 @@
 	return time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC).Add(time.Duration(step) * tick)
 }
 
-// run plays the roll-out until a verdict stands, or twice its time.
+// run simulates the rollout until it is completed, or until some time after every gateway knows
+// that it is reverted, but at most for twice the order's duration.
 func (f *simulatedFleet) run() scenarioResult {
 	verdictTick, due := 0, Ordered
 	for i := range f.judges {
@@ -151,7 +155,7 @@
 	return f.result
 }
 
-// decide returns the first verdict that any gateway finds due.
+// decide returns the first verdict that is due in any gateway, or Ordered.
 func (f *simulatedFleet) decide(now time.Time) State {
 	for _, j := range f.judges {
 		if now.Before(j.beganAt) {
@@ -165,7 +169,8 @@
 	return Ordered
 }
 
-// exchange gives each gateway the sums of a round ago, and marks as they are.
+// exchange gives each gateway the sums of the tallies that the others last reported, and the
+// current mark of a random peer.
 func (f *simulatedFleet) exchange(step int) {
 	now := at(step)
 	for i, j := range f.judges {
@@ -224,7 +229,8 @@
 	f.startAttempt(step, j, route, side, fails, true)
 }
 
-// attempt sends a request and lets it end; one that fails is tried again once.
+// startAttempt sends an attempt and schedules its answer and its end. A first attempt that fails
+// is retried once.
 func (f *simulatedFleet) startAttempt(step int, j *Judge, route int, side Side, fails, first bool) {
 	now := at(step)
 	backEnd := f.random.IntN(f.scenario.backEnds)
@@ -282,8 +288,9 @@
 	}
 }
 
-// treat tells whether the back end fails the request, whether its version is to blame for a bad
-// answer, which one machine's failures aren't, and how many times as long it takes.
+// outcome returns whether the back end fails the request, whether its version is to blame for a
+// bad answer, and the factor by which its answer is slower. Failures of the one failing machine
+// aren't blamed on its version.
 func (f *simulatedFleet) outcome(step, route int, side Side, backEnd int) (bad, versionFault bool, slowdown float64) {
 	slowdown = 1
 	if f.scenario.grey && side == f.scenario.greySide && backEnd == 0 && f.random.Float64() < 0.4 {
