--- a/internal/collect/crowd_test.go
+++ b/internal/collect/crowd_test.go
@@ -17,21 +17,21 @@
 
 // crowd plays the cores of many gateways that share a pool and collect their loads, on a
 // clock of its own. Some of the words between them are lost.
-type crowd struct {
-	random   *rand.Rand
-	now      time.Time
-	gateways []*crowdGateway
-	byID     map[string]*crowdGateway
-	members  int
-	loads    map[string]int
-	total    int
-	ends     []ending
-	sent     int
-	overfull int
-	refused  int
+type simulation struct {
+	random      *rand.Rand
+	now         time.Time
+	gateways    []*simulatedGateway
+	byID        map[string]*simulatedGateway
+	backEnds    int
+	loads       map[string]int
+	total       int
+	completions []completion
+	sent        int
+	overBound   int
+	refused     int
 	// readers are the back ends that read each part, and copies counts further ones.
-	readers map[string]map[string]bool
-	copies  int
+	prefilledAt   map[string]map[string]bool
+	extraPrefills int
 	// sentTo counts requests by back end, and queued those that found all places taken.
 	sentTo map[string]int
 	queued int
@@ -40,35 +40,35 @@
 	runTime func(part, id string) time.Duration
 }
 
-func memberName(i int) string { return fmt.Sprintf("b%03d", i) }
+func backEndID(i int) string { return fmt.Sprintf("b%03d", i) }
 
-type crowdGateway struct {
-	id    string
-	phase time.Duration
-	core  *dispatch.Core
-	sums  *Sums
-	plan  Plan
+type simulatedGateway struct {
+	id         string
+	phase      time.Duration
+	core       *dispatch.Core
+	aggregator *Aggregator
+	plan       Plan
 }
 
-type ending struct {
-	at   time.Time
-	core *dispatch.Core
-	x    *dispatch.Exchange
-	id   string
+type completion struct {
+	at       time.Time
+	core     *dispatch.Core
+	exchange *dispatch.Exchange
+	id       string
 }
 
 const (
-	crowdStep  = time.Millisecond
-	crowdSlots = 12
-	crowdZones = 6
-	crowdParts = 2800
+	timeStep     = time.Millisecond
+	backEndSlots = 12
+	zoneCount    = 6
+	partCount    = 2800
 	// partSkew makes some parts more wanted than others.
-	partSkew = 0.7
-	meanRun  = 900 * time.Millisecond
+	partSkew    = 0.7
+	meanRunTime = 900 * time.Millisecond
 	// plain in place of a share of a hot part plays requests without prompts.
-	plain = -1
+	noPrompts = -1
 	// lostShare is the part of the words between gateways that is lost.
-	lostShare = 0.03
+	lossRate = 0.03
 	// window is the time over which the bound is judged.
 	window = 5 * time.Second
 	// allowedMultiple and allowedSlack are the operators' bound on load.
@@ -76,149 +76,149 @@
 	allowedSlack    = 3
 )
 
-func newCrowd(gateways, members, slots int, disabled ...dispatch.Mechanism) *crowd {
-	c := &crowd{
-		random: rand.New(rand.NewPCG(7, 7)), now: start, members: members, byID: map[string]*crowdGateway{},
-		loads: map[string]int{}, readers: map[string]map[string]bool{}, sentTo: map[string]int{},
+func newSimulation(gateways, backEnds, slots int, disabled ...dispatch.Mechanism) *simulation {
+	s := &simulation{
+		random: rand.New(rand.NewPCG(7, 7)), now: start, backEnds: backEnds, byID: map[string]*simulatedGateway{},
+		loads: map[string]int{}, prefilledAt: map[string]map[string]bool{}, sentTo: map[string]int{},
 	}
-	list := make([]catalog.BackEnd, members)
+	list := make([]catalog.BackEnd, backEnds)
 	for i := range list {
-		list[i] = catalog.BackEnd{ID: memberName(i), Service: "s", Address: fmt.Sprint("10.1.0.", i, ":1"), Zone: memberName(i), Slots: slots}
+		list[i] = catalog.BackEnd{ID: backEndID(i), Service: "s", Address: fmt.Sprint("10.1.0.", i, ":1"), Zone: backEndID(i), Slots: slots}
 	}
 	config := dispatch.DefaultConfig()
 	config.Disabled = dispatch.Disabled{}
 	for _, each := range disabled {
 		config.Disabled[each] = true
 	}
-	c.slots = slots
-	c.runTime = func(_, _ string) time.Duration { return meanRun }
+	s.slots = slots
+	s.runTime = func(_, _ string) time.Duration { return meanRunTime }
 	var live []Gateway
 	for i := range gateways {
-		live = append(live, Gateway{ID: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i%crowdZones), Capacity: 10})
+		live = append(live, Gateway{ID: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i%zoneCount), Capacity: 10})
 	}
 	for i, each := range live {
 		core := dispatch.New(config)
 		core.SetBackEnds(start, list)
 		core.SetGateways(gateways)
-		known := &crowdGateway{
-			id: each.ID, core: core, sums: NewSums(), plan: NewPlan(each.ID, live),
-			phase: periodFor(members) * time.Duration(i) / time.Duration(gateways),
+		simulated := &simulatedGateway{
+			id: each.ID, core: core, aggregator: NewAggregator(), plan: NewPlan(each.ID, live),
+			phase: periodFor(backEnds) * time.Duration(i) / time.Duration(gateways),
 		}
-		c.gateways = append(c.gateways, known)
-		c.byID[each.ID] = known
+		s.gateways = append(s.gateways, simulated)
+		s.byID[each.ID] = simulated
 	}
-	return c
+	return s
 }
 
 // step plays one moment at so many requests a second, hotShare of them for one part.
-func (c *crowd) step(perSecond, hotShare float64) {
-	c.now = c.now.Add(crowdStep)
-	c.end()
-	for _, each := range c.gateways {
-		if (c.now.Sub(start)+each.phase)%periodFor(c.members) < crowdStep {
-			c.tell(each)
+func (s *simulation) step(perSecond, hotShare float64) {
+	s.now = s.now.Add(timeStep)
+	s.completeRequests()
+	for _, each := range s.gateways {
+		if (s.now.Sub(start)+each.phase)%periodFor(s.backEnds) < timeStep {
+			s.reportCounts(each)
 		}
 	}
-	for expected := perSecond * crowdStep.Seconds(); expected > 0; expected-- {
-		if c.random.Float64() >= expected {
+	for expected := perSecond * timeStep.Seconds(); expected > 0; expected-- {
+		if s.random.Float64() >= expected {
 			continue
 		}
-		if hotShare == plain {
-			c.sendPrompt("", nil)
+		if hotShare == noPrompts {
+			s.sendPrompt("", nil)
 			continue
 		}
-		c.send(hotShare)
+		s.send(hotShare)
 	}
 }
 
-func (c *crowd) lost() bool { return c.random.Float64() < lostShare }
+func (s *simulation) isLost() bool { return s.random.Float64() < lossRate }
 
-func (c *crowd) tell(from *crowdGateway) {
-	collector := c.byID[from.plan.Own.Members[0].ID]
+func (s *simulation) reportCounts(from *simulatedGateway) {
+	collector := s.byID[from.plan.Own.Members[0].ID]
 	if collector == from {
 		for _, group := range from.plan.Others {
-			if !c.lost() {
-				from.sums.TakeGroup(c.now, group.key(), c.byID[group.Members[0].ID].sums.Group(c.now))
+			if !s.isLost() {
+				from.aggregator.SetGroup(s.now, group.key(), s.byID[group.Members[0].ID].aggregator.GroupTotals(s.now))
 			}
 		}
 	}
-	if c.lost() {
+	if s.isLost() {
 		return
 	}
-	counts := from.core.Counts(c.now)
-	collector.sums.TakeMember(c.now, from.id, counts, nil)
-	if !c.lost() {
-		from.core.ApplyTotals(c.now, counts, collector.sums.Totals(c.now, collector.plan.Others))
+	counts := from.core.Counts(s.now)
+	collector.aggregator.SetMember(s.now, from.id, counts, nil)
+	if !s.isLost() {
+		from.core.ApplyTotals(s.now, counts, collector.aggregator.Totals(s.now, collector.plan.Others))
 	}
 }
 
-func (c *crowd) end() {
-	kept := c.ends[:0]
-	for _, each := range c.ends {
-		if each.at.After(c.now) {
+func (s *simulation) completeRequests() {
+	kept := s.completions[:0]
+	for _, each := range s.completions {
+		if each.at.After(s.now) {
 			kept = append(kept, each)
 			continue
 		}
-		each.core.Done(each.at, each.x)
-		c.loads[each.id]--
-		c.total--
+		each.core.Done(each.at, each.exchange)
+		s.loads[each.id]--
+		s.total--
 	}
-	c.ends = kept
+	s.completions = kept
 }
 
-func (c *crowd) send(hotShare float64) {
+func (s *simulation) send(hotShare float64) {
 	part := "hot"
-	if c.random.Float64() >= hotShare {
-		part = fmt.Sprint("part", int(crowdParts*math.Pow(c.random.Float64(), 1/partSkew)))
+	if s.random.Float64() >= hotShare {
+		part = fmt.Sprint("part", int(partCount*math.Pow(s.random.Float64(), 1/partSkew)))
 	}
-	c.sendPrompt(part, []dispatch.Part{{ID: part, Tokens: 9000}, {ID: "own"}})
+	s.sendPrompt(part, []dispatch.Part{{ID: part, Tokens: 9000}, {ID: "own"}})
 }
 
 // sendPrompt sends a request with the parts, or a plain one without any.
-func (c *crowd) sendPrompt(part string, parts []dispatch.Part) {
-	core := c.gateways[c.random.IntN(len(c.gateways))].core
-	x, decision := core.Begin(c.now, dispatch.Request{
-		ID: fmt.Sprint(c.sent), Path: "/x", Deadline: c.now.Add(time.Minute), Parts: parts,
+func (s *simulation) sendPrompt(part string, parts []dispatch.Part) {
+	core := s.gateways[s.random.IntN(len(s.gateways))].core
+	x, decision := core.Begin(s.now, dispatch.Request{
+		ID: fmt.Sprint(s.sent), Path: "/x", Deadline: s.now.Add(time.Minute), Parts: parts,
 		Route: &catalog.Route{Targets: []catalog.Target{{Service: "s", Weight: 1}}, Repeatable: true, MaxAttempts: 1},
 	})
 	if decision.Send == nil {
-		c.refused++
+		s.refused++
 		return
 	}
 	id := decision.Send.BackEnd.ID
-	c.sent++
-	c.loads[id]++
-	c.total++
-	core.Answered(c.now, x, c.loads[id])
+	s.sent++
+	s.loads[id]++
+	s.total++
+	core.Answered(s.now, x, s.loads[id])
 	if part != "" {
-		c.noteReader(part, id)
+		s.recordPrefill(part, id)
 	}
-	c.sentTo[id]++
-	if c.loads[id] > c.slots {
-		c.queued++
+	s.sentTo[id]++
+	if s.loads[id] > s.slots {
+		s.queued++
 	}
-	if float64(c.loads[id]) > allowedMultiple*float64(c.total)/float64(c.members)+allowedSlack {
-		c.overfull++
+	if float64(s.loads[id]) > allowedMultiple*float64(s.total)/float64(s.backEnds)+allowedSlack {
+		s.overBound++
 	}
-	run := time.Duration(c.random.ExpFloat64() * float64(c.runTime(part, id)))
-	c.ends = append(c.ends, ending{at: c.now.Add(run), core: core, x: x, id: id})
+	run := time.Duration(s.random.ExpFloat64() * float64(s.runTime(part, id)))
+	s.completions = append(s.completions, completion{at: s.now.Add(run), core: core, exchange: x, id: id})
 }
 
-func (c *crowd) noteReader(part, backEnd string) {
-	readers := c.readers[part]
-	if readers == nil {
-		readers = map[string]bool{}
-		c.readers[part] = readers
+func (s *simulation) recordPrefill(part, backEnd string) {
+	backEnds := s.prefilledAt[part]
+	if backEnds == nil {
+		backEnds = map[string]bool{}
+		s.prefilledAt[part] = backEnds
 	}
-	if !readers[backEnd] && len(readers) > 0 {
-		c.copies++
+	if !backEnds[backEnd] && len(backEnds) > 0 {
+		s.extraPrefills++
 	}
-	readers[backEnd] = true
+	backEnds[backEnd] = true
 }
 
 // Hundreds of gateways that each decide alone keep the operators' bound, refuse nothing
 // while there is room, and read few parts at more back ends than one.
-func TestLargeFleetsKeepTheBound(t *testing.T) {
+func TestLargeFleetsKeepTheLoadBound(t *testing.T) {
 	for _, size := range []struct {
 		gateways, members int
 		perSecond         float64
@@ -226,16 +226,16 @@
 		for _, hotShare := range []float64{0, 0.1} {
 			t.Run(fmt.Sprint(size, " hot ", hotShare), func(t *testing.T) {
 				is := is.New(t)
-				c := newCrowd(size.gateways, size.members, crowdSlots)
-				for range time.Second / crowdStep {
-					c.step(0, 0) // gateways are up before their callers come
+				s := newSimulation(size.gateways, size.members, backEndSlots)
+				for range time.Second / timeStep {
+					s.step(0, 0) // gateways are up before their callers come
 				}
-				for range window / crowdStep {
-					c.step(size.perSecond, hotShare)
+				for range window / timeStep {
+					s.step(size.perSecond, hotShare)
 				}
-				t.Logf("%d of %d over the bound, %d copies of %d parts", c.overfull, c.sent, c.copies, len(c.readers))
-				is.True(float64(c.overfull) <= 0.03*float64(c.sent)) // as many are allowed
-				is.Equal(c.refused, 0)
+				t.Logf("%d of %d over the bound, %d copies of %d parts", s.overBound, s.sent, s.extraPrefills, len(s.prefilledAt))
+				is.True(float64(s.overBound) <= 0.03*float64(s.sent)) // as many are allowed
+				is.Equal(s.refused, 0)
 			})
 		}
 	}
@@ -244,51 +244,51 @@
 // A plain service with short work, in front of which loads are known ten run times late,
 // is shared evenly: gateways don't all send to the one that looked idle. A back end that
 // takes twice as long gets fewer requests.
-func TestShortWorkIsSharedEvenly(t *testing.T) {
-	play := func(disabled ...dispatch.Mechanism) *crowd {
-		c := newCrowd(103, 5, 6, disabled...)
-		c.runTime = func(_, id string) time.Duration {
-			if id == memberName(0) {
+func TestShortRequestsAreBalancedDespiteOutdatedLoads(t *testing.T) {
+	simulate := func(disabled ...dispatch.Mechanism) *simulation {
+		s := newSimulation(103, 5, 6, disabled...)
+		s.runTime = func(_, id string) time.Duration {
+			if id == backEndID(0) {
 				return 60 * time.Millisecond
 			}
 			return 30 * time.Millisecond
 		}
-		for range 10 * time.Second / crowdStep {
-			c.step(400, plain)
+		for range 10 * time.Second / timeStep {
+			s.step(400, noPrompts)
 		}
-		return c
+		return s
 	}
 	is := is.New(t)
-	c := play()
-	t.Logf("%d of %d found all places taken; sent %v", c.queued, c.sent, c.sentTo)
-	is.True(float64(c.queued) < 0.12*float64(c.sent))
-	is.True(float64(c.sentTo[memberName(0)]) < 0.75*float64(c.sentTo[memberName(1)]))
-	herd := play(dispatch.Spread)
-	t.Logf("%d of %d found all places taken without the spread", herd.queued, herd.sent)
-	is.True(herd.queued > 3*c.queued)
+	s := simulate()
+	t.Logf("%d of %d found all places taken; sent %v", s.queued, s.sent, s.sentTo)
+	is.True(float64(s.queued) < 0.12*float64(s.sent))
+	is.True(float64(s.sentTo[backEndID(0)]) < 0.75*float64(s.sentTo[backEndID(1)]))
+	withoutSpread := simulate(dispatch.Spread)
+	t.Logf("%d of %d found all places taken without the spread", withoutSpread.queued, withoutSpread.sent)
+	is.True(withoutSpread.queued > 3*s.queued)
 }
 
 // A part that is much wanted and runs for a tenth of the others' time needs few back ends.
 // What it needs isn't spread over dozens, which would send the parts at home there away.
-func TestShortWorkOnOnePartNeedsFewBackEnds(t *testing.T) {
+func TestShortRequestsForOnePartUseFewBackEnds(t *testing.T) {
 	is := is.New(t)
-	c := newCrowd(103, 180, crowdSlots)
+	s := newSimulation(103, 180, backEndSlots)
 	const shortRun = 100 * time.Millisecond
-	c.runTime = func(part, _ string) time.Duration {
+	s.runTime = func(part, _ string) time.Duration {
 		if part == "hot" {
 			return shortRun
 		}
-		return meanRun
+		return meanRunTime
 	}
 	const perSecond, hotShare = 1000, 0.25
-	for range time.Second / crowdStep {
-		c.step(0, 0)
+	for range time.Second / timeStep {
+		s.step(0, 0)
 	}
-	for range window / crowdStep {
-		c.step(perSecond, hotShare)
+	for range window / timeStep {
+		s.step(perSecond, hotShare)
 	}
-	t.Logf("%d back ends read the part, %d copies of %d parts, %d of %d over the bound", len(c.readers["hot"]), c.copies, len(c.readers), c.overfull, c.sent)
-	is.True(len(c.readers["hot"]) <= 40)
-	is.True(c.copies <= 450) // the parts at home there aren't sent away
-	is.True(float64(c.overfull) <= 0.03*float64(c.sent))
+	t.Logf("%d back ends read the part, %d copies of %d parts, %d of %d over the bound", len(s.prefilledAt["hot"]), s.extraPrefills, len(s.prefilledAt), s.overBound, s.sent)
+	is.True(len(s.prefilledAt["hot"]) <= 40)
+	is.True(s.extraPrefills <= 450) // the parts at home there aren't sent away
+	is.True(float64(s.overBound) <= 0.03*float64(s.sent))
 }
--- a/internal/collect/landed_test.go
+++ b/internal/collect/landed_test.go
@@ -12,29 +12,29 @@
 )
 
 // countsOfLandedBuilds are those in the recorded messages.
-var countsOfLandedBuilds = []dispatch.Count{{Key: 7, Requests: 3, Demand: 40}, {Key: 9, Requests: 1, Demand: 2, Ended: 5, ResidenceMillis: 600}}
+var recordedCounts = []dispatch.Count{{Key: 7, Requests: 3, Demand: 40}, {Key: 9, Requests: 1, Demand: 2, Ended: 5, ResidenceMillis: 600}}
 
 // Every build reads the questions and answers of the builds that landed before it.
-func TestQuestionsAndAnswersOfLandedBuildsAreRead(t *testing.T) {
+func TestMessagesOfEarlierBuildsAreDecoded(t *testing.T) {
 	is := is.New(t)
 	raw, err := os.ReadFile("testdata/landed/question-018ec82.cbor")
 	is.NoErr(err)
-	var asked question
-	is.NoErr(cbor.Unmarshal(raw, &asked))
-	is.Equal(asked.From, "g1")
-	counts, err := asked.Counts.unpack()
+	var query queryMessage
+	is.NoErr(cbor.Unmarshal(raw, &query))
+	is.Equal(query.From, "g1")
+	counts, err := query.Counts.unpack()
 	is.NoErr(err)
-	is.Equal(counts, countsOfLandedBuilds)
+	is.Equal(counts, recordedCounts)
 
 	raw, err = os.ReadFile("testdata/landed/answer-018ec82.cbor")
 	is.NoErr(err)
 	totals, err := decodeAnswer(raw)
 	is.NoErr(err)
-	is.Equal(totals, dispatch.Totals{Counts: countsOfLandedBuilds, Counted: 12, Expected: 14})
+	is.Equal(totals, dispatch.Totals{Counts: recordedCounts, Counted: 12, Expected: 14})
 }
 
 // A build before this one finds in ours what it knows.
-func TestOlderBuildsFindTheirFieldsInOurs(t *testing.T) {
+func TestEarlierBuildsFindTheirFieldsInOurMessages(t *testing.T) {
 	is := is.New(t)
 	fields := func(raw []byte) map[int]cbor.RawMessage {
 		var found map[int]cbor.RawMessage
@@ -47,14 +47,14 @@
 		return fields(raw)
 	}
 	tallies := []rollout.Tally{{Key: rollout.Key{Order: 1, Route: 2, Group: 3}, Sent: 4}}
-	asked, err := cbor.Marshal(question{From: "g1", Counts: pack(countsOfLandedBuilds), Tallies: tallies})
+	query, err := cbor.Marshal(queryMessage{From: "g1", Counts: pack(recordedCounts), Tallies: tallies})
 	is.NoErr(err)
-	answered, err := encodeAnswer(dispatch.Totals{Counts: countsOfLandedBuilds, Counted: 12, Expected: 14, Tallies: tallies})
+	answer, err := encodeAnswer(dispatch.Totals{Counts: recordedCounts, Counted: 12, Expected: 14, Tallies: tallies})
 	is.NoErr(err)
 	for field, value := range recorded("question") {
-		is.Equal(fields(asked)[field], value)
+		is.Equal(fields(query)[field], value)
 	}
 	for field, value := range recorded("answer") {
-		is.Equal(fields(answered)[field], value)
+		is.Equal(fields(answer)[field], value)
 	}
 }
--- a/internal/collect/link.go
+++ b/internal/collect/link.go
@@ -20,33 +20,33 @@
 
 // ask sends a question on the connection to the gateway, which it opens when there is
 // none.
-func (s *Service) ask(collector Gateway, what question) (dispatch.Totals, error) {
-	ctx, cancel := context.WithTimeout(s.ctx, answerTime)
+func (s *Service) query(collector Gateway, request queryMessage) (dispatch.Totals, error) {
+	ctx, cancel := context.WithTimeout(s.ctx, answerTimeout)
 	defer cancel()
-	if known := s.known(collector.ID); known != nil {
-		totals, err := known.exchange(ctx, what)
+	if existing := s.linkTo(collector.ID); existing != nil {
+		totals, err := existing.roundTrip(ctx, request)
 		if err == nil {
 			return totals, nil
 		}
-		s.drop(collector.ID, known)
+		s.dropLink(collector.ID, existing)
 		// The other side may have closed a connection that had rested, or restarted: a
 		// new one is tried in the time that is left.
 	}
-	opened, err := s.open(ctx, collector)
+	opened, err := s.openLink(ctx, collector)
 	if err != nil {
 		return dispatch.Totals{}, err
 	}
-	totals, err := opened.exchange(ctx, what)
+	totals, err := opened.roundTrip(ctx, request)
 	if err != nil {
-		s.drop(collector.ID, opened)
+		s.dropLink(collector.ID, opened)
 	}
 	return totals, err
 }
 
-func (l *link) exchange(ctx context.Context, what question) (dispatch.Totals, error) {
+func (l *link) roundTrip(ctx context.Context, request queryMessage) (dispatch.Totals, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	raw, err := cbor.Marshal(what)
+	raw, err := cbor.Marshal(request)
 	if err != nil {
 		return dispatch.Totals{}, err
 	}
@@ -61,13 +61,13 @@
 }
 
 // known returns the connection to the gateway, or nil.
-func (s *Service) known(id string) *link {
+func (s *Service) linkTo(id string) *link {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.links[id]
 }
 
-func (s *Service) open(ctx context.Context, to Gateway) (*link, error) {
+func (s *Service) openLink(ctx context.Context, to Gateway) (*link, error) {
 	header := http.Header{hop.HeaderNode: []string{s.config.ID}}
 	socket, _, err := websocket.Dial(ctx, "ws://"+to.Address+Path, &websocket.DialOptions{HTTPClient: s.client, HTTPHeader: header})
 	if err != nil {
@@ -81,7 +81,7 @@
 	return opened, nil
 }
 
-func (s *Service) drop(id string, broken *link) {
+func (s *Service) dropLink(id string, broken *link) {
 	_ = broken.socket.CloseNow()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/collect/message.go
+++ b/internal/collect/message.go
@@ -13,11 +13,11 @@
 // question is what a gateway tells a collector. The answer holds the sums over the whole
 // fleet for a member, which tells its counts, and those over the group for another
 // collector.
-type question struct {
+type queryMessage struct {
 	// From is the gateway that asks.
 	From string `cbor:"1,keyasint"`
 	// Counts are a member's own; a collector that asks for the group has none.
-	Counts packed `cbor:"2,keyasint,omitempty"`
+	Counts packedCounts `cbor:"2,keyasint,omitempty"`
 	// Group is set by another collector.
 	Group bool `cbor:"3,keyasint,omitempty"`
 	// Tallies are a member's own of moves to other versions.
@@ -25,8 +25,8 @@
 }
 
 // answer is what a collector returns.
-type answer struct {
-	Counts packed `cbor:"1,keyasint"`
+type answerMessage struct {
+	Counts packedCounts `cbor:"1,keyasint"`
 	// Counted and Expected are those of dispatch.Totals.
 	Counted  int `cbor:"2,keyasint"`
 	Expected int `cbor:"3,keyasint"`
@@ -37,12 +37,12 @@
 // packed holds counts in as few bytes as a large fleet needs: for each back end three
 // bytes of the key, then twice the requests and wanted as varints, one byte each as a
 // rule. Where the first is told with one more, what ended and what it took follow.
-type packed []byte
+type packedCounts []byte
 
 const keyBytes = dispatch.CountKeyBits / 8
 
-func pack(counts []dispatch.Count) packed {
-	bytes := make(packed, 0, len(counts)*(keyBytes+2))
+func pack(counts []dispatch.Count) packedCounts {
+	bytes := make(packedCounts, 0, len(counts)*(keyBytes+2))
 	for _, each := range counts {
 		bytes = append(bytes, byte(each.Key>>16), byte(each.Key>>8), byte(each.Key))
 		requests := 2 * uint64(each.Requests)
@@ -62,29 +62,29 @@
 // mostPacked bounds the counts of one message, and mostCount one count: far above any
 // fleet's, so that a damaged message can't take the memory.
 const (
-	mostPacked = 100_000
-	mostCount  = 1 << 24
+	maxPackedCounts = 100_000
+	maxCount        = 1 << 24
 )
 
-var errPacked = errors.New("the counts can't be read")
+var errMalformedCounts = errors.New("the counts can't be read")
 
-func (p packed) unpack() ([]dispatch.Count, error) {
-	if len(p) > mostPacked*(keyBytes+2) {
-		return nil, errPacked
+func (p packedCounts) unpack() ([]dispatch.Count, error) {
+	if len(p) > maxPackedCounts*(keyBytes+2) {
+		return nil, errMalformedCounts
 	}
 	counts := make([]dispatch.Count, 0, len(p)/(keyBytes+2))
-	rest := reader{bytes: p}
-	for len(rest.bytes) > 0 {
-		count := dispatch.Count{Key: rest.key()}
-		requests := rest.number()
+	remaining := unpacker{bytes: p}
+	for len(remaining.bytes) > 0 {
+		count := dispatch.Count{Key: remaining.key()}
+		requests := remaining.uvarint()
 		count.Requests = requests / 2
-		count.Demand = rest.number()
+		count.Demand = remaining.uvarint()
 		if requests%2 == 1 {
-			count.Ended = rest.number()
-			count.ResidenceMillis = rest.number()
+			count.Ended = remaining.uvarint()
+			count.ResidenceMillis = remaining.uvarint()
 		}
-		if rest.failed {
-			return nil, errPacked
+		if remaining.failed {
+			return nil, errMalformedCounts
 		}
 		counts = append(counts, count)
 	}
@@ -92,42 +92,42 @@
 }
 
 // reader takes packed counts apart. After a failure it returns zeros.
-type reader struct {
+type unpacker struct {
 	bytes  []byte
 	failed bool
 }
 
-func (r *reader) key() uint32 {
-	if len(r.bytes) < keyBytes {
-		r.fail()
+func (u *unpacker) key() uint32 {
+	if len(u.bytes) < keyBytes {
+		u.fail()
 		return 0
 	}
-	key := uint32(r.bytes[0])<<16 | uint32(r.bytes[1])<<8 | uint32(r.bytes[2])
-	r.bytes = r.bytes[keyBytes:]
+	key := uint32(u.bytes[0])<<16 | uint32(u.bytes[1])<<8 | uint32(u.bytes[2])
+	u.bytes = u.bytes[keyBytes:]
 	return key
 }
 
-func (r *reader) number() uint32 {
-	value, length := binary.Uvarint(r.bytes)
-	if length <= 0 || value > mostCount {
-		r.fail()
+func (u *unpacker) uvarint() uint32 {
+	value, length := binary.Uvarint(u.bytes)
+	if length <= 0 || value > maxCount {
+		u.fail()
 		return 0
 	}
-	r.bytes = r.bytes[length:]
+	u.bytes = u.bytes[length:]
 	return uint32(value)
 }
 
-func (r *reader) fail() {
-	r.bytes = nil
-	r.failed = true
+func (u *unpacker) fail() {
+	u.bytes = nil
+	u.failed = true
 }
 
 func encodeAnswer(totals dispatch.Totals) ([]byte, error) {
-	return cbor.Marshal(answer{Counts: pack(totals.Counts), Counted: totals.Counted, Expected: totals.Expected, Tallies: totals.Tallies})
+	return cbor.Marshal(answerMessage{Counts: pack(totals.Counts), Counted: totals.Counted, Expected: totals.Expected, Tallies: totals.Tallies})
 }
 
 func decodeAnswer(raw []byte) (dispatch.Totals, error) {
-	var message answer
+	var message answerMessage
 	if err := cbor.Unmarshal(raw, &message); err != nil {
 		return dispatch.Totals{}, err
 	}
--- a/internal/collect/plan.go
+++ b/internal/collect/plan.go
@@ -29,7 +29,7 @@
 
 // groupSize is the largest number of gateways that tell one collector. Larger groups
 // cost a collector more, smaller ones make more collectors that ask each other.
-const groupSize = 32
+const maxGroupSize = 32
 
 // Group is the gateways of one zone that tell the same collector.
 type Group struct {
@@ -75,7 +75,7 @@
 	slices.SortFunc(members, func(a, b Gateway) int {
 		return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID)))
 	})
-	groups := make([]Group, (len(members)+groupSize-1)/groupSize)
+	groups := make([]Group, (len(members)+maxGroupSize-1)/maxGroupSize)
 	for i, member := range members {
 		group := &groups[i%len(groups)]
 		group.Zone, group.Number = zone, i%len(groups)
--- a/internal/collect/serve.go
+++ b/internal/collect/serve.go
@@ -13,7 +13,7 @@
 
 // errNobodyTells means that a gateway was taken for a collector whose group doesn't tell
 // it anything.
-var errNobodyTells = errors.New("no gateway tells it its counts")
+var errNoMembers = errors.New("no gateway tells it its counts")
 
 // ServeHTTP takes a connection of a member or of another collector.
 func (s *Service) ServeHTTP(w http.ResponseWriter, request *http.Request) {
@@ -23,39 +23,39 @@
 	}
 	defer socket.CloseNow()
 	socket.SetReadLimit(maxMessageBytes)
-	for s.answerOne(socket) == nil {
+	for s.answerQuery(socket) == nil {
 	}
 }
 
-func (s *Service) answerOne(socket *websocket.Conn) error {
-	ctx, cancel := context.WithTimeout(s.ctx, idleTime)
+func (s *Service) answerQuery(socket *websocket.Conn) error {
+	ctx, cancel := context.WithTimeout(s.ctx, idleTimeout)
 	defer cancel()
 	_, raw, err := socket.Read(ctx)
 	if err != nil {
 		return err
 	}
-	var asked question
-	if err := cbor.Unmarshal(raw, &asked); err != nil {
+	var query queryMessage
+	if err := cbor.Unmarshal(raw, &query); err != nil {
 		return err
 	}
-	counts, err := asked.Counts.unpack()
+	counts, err := query.Counts.unpack()
 	if err != nil {
 		return err
 	}
-	reply, err := encodeAnswer(s.reply(asked, counts))
+	reply, err := encodeAnswer(s.totalsFor(query, counts))
 	if err != nil {
 		return err
 	}
 	return socket.Write(ctx, websocket.MessageBinary, reply)
 }
 
-func (s *Service) reply(asked question, counts []dispatch.Count) dispatch.Totals {
+func (s *Service) totalsFor(query queryMessage, counts []dispatch.Count) dispatch.Totals {
 	now := s.config.Clock.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if asked.Group {
-		return s.sums.Group(now)
+	if query.Group {
+		return s.aggregator.GroupTotals(now)
 	}
-	s.sums.TakeMember(now, asked.From, counts, asked.Tallies)
-	return s.sums.Totals(now, s.plan.Others)
+	s.aggregator.SetMember(now, query.From, counts, query.Tallies)
+	return s.aggregator.Totals(now, s.plan.Others)
 }
--- a/internal/collect/service.go
+++ b/internal/collect/service.go
@@ -56,20 +56,20 @@
 	// period is the time between two questions of a gateway. Together with the next
 	// collector's it bounds the age of what a gateway knows. It stretches with the
 	// number of back ends beyond quickBackEnds, since an answer tells of each.
-	period        = 250 * time.Millisecond
-	quickBackEnds = 500
+	period           = 250 * time.Millisecond
+	fullRateBackEnds = 500
 	// answerTime is how long a collector may take to answer; silentTime is how long
 	// one that didn't is passed over.
-	answerTime = 400 * time.Millisecond
-	silentTime = 3 * time.Second
+	answerTimeout  = 400 * time.Millisecond
+	silentSkipTime = 3 * time.Second
 	// untoldTime is how long a collector is passed over that answers, and that nobody of its
 	// group tells yet: where gateways start together, its members do within a period. Shorter
 	// times keep the members behind it, one of which may be told instead, from being asked.
-	untoldTime = time.Second
+	noMembersSkipTime = time.Second
 	// maxMessageBytes bounds a message.
 	maxMessageBytes = 1 << 20
 	// idleTime is how long a connection may be without a question.
-	idleTime = 5 * time.Second
+	idleTimeout = 5 * time.Second
 )
 
 // Service tells this gateway's counts, and collects those of others when they come.
@@ -80,24 +80,24 @@
 	tasks  conc.WaitGroup
 	client *http.Client
 
-	mutex sync.Mutex
-	sums  *Sums
-	plan  Plan
+	mutex      sync.Mutex
+	aggregator *Aggregator
+	plan       Plan
 	// silentUntil is when a gateway that didn't answer may be asked again, by ID.
-	silentUntil map[string]time.Time
+	skippedUntil map[string]time.Time
 	// links are the connections that this gateway opened, by ID of the other one.
 	links map[string]*link
 	// asking holds the groups that are being asked.
-	asking map[string]bool
+	inFlight map[string]bool
 }
 
 // Start begins to tell and to collect.
 func Start(config Config) *Service {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Service{
-		config: config, ctx: ctx, cancel: cancel, sums: NewSums(),
-		client:      &http.Client{Transport: &http.Transport{DialContext: config.Dial, DisableKeepAlives: true}},
-		silentUntil: map[string]time.Time{}, links: map[string]*link{}, asking: map[string]bool{},
+		config: config, ctx: ctx, cancel: cancel, aggregator: NewAggregator(),
+		client:       &http.Client{Transport: &http.Transport{DialContext: config.Dial, DisableKeepAlives: true}},
+		skippedUntil: map[string]time.Time{}, links: map[string]*link{}, inFlight: map[string]bool{},
 	}
 	s.tasks.Go(s.run)
 	return s
@@ -112,8 +112,8 @@
 // run asks once a period. In a small fleet all gateways tell each other their loads, and
 // nothing is collected.
 func (s *Service) run() {
-	var asked conc.WaitGroup
-	defer asked.Wait()
+	var queries conc.WaitGroup
+	defer queries.Wait()
 	defer s.closeLinks()
 	timer := time.NewTimer(period)
 	defer timer.Stop()
@@ -124,16 +124,16 @@
 			return
 		}
 		wait := period
-		s.replan()
+		s.updatePlan()
 		if s.isLarge() {
-			wait = s.tell()
-			s.askGroups(&asked)
+			wait = s.report()
+			s.queryGroups(&queries)
 		}
 		timer.Reset(wait)
 	}
 }
 
-func (s *Service) replan() {
+func (s *Service) updatePlan() {
 	gateways, large := s.config.Source.Live()
 	plan := Plan{}
 	if large {
@@ -143,7 +143,7 @@
 	defer s.mutex.Unlock()
 	s.plan = plan
 	now := s.config.Clock.Now()
-	maps.DeleteFunc(s.silentUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
+	maps.DeleteFunc(s.skippedUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
 }
 
 func (s *Service) isLarge() bool {
@@ -154,20 +154,20 @@
 
 // tell tells the counts to the group's collector and takes the sums. It returns the time
 // to the next question.
-func (s *Service) tell() time.Duration {
+func (s *Service) report() time.Duration {
 	counts, tallies := s.config.Source.Counts(), s.config.Source.Tallies()
-	collector := s.firstAnswering(s.plan.Own)
+	collector := s.collectorOf(s.plan.Own)
 	var totals dispatch.Totals
 	if collector.ID == s.config.ID {
 		s.mutex.Lock()
-		s.sums.TakeMember(s.config.Clock.Now(), s.config.ID, counts, tallies)
-		totals = s.sums.Totals(s.config.Clock.Now(), s.plan.Others)
+		s.aggregator.SetMember(s.config.Clock.Now(), s.config.ID, counts, tallies)
+		totals = s.aggregator.Totals(s.config.Clock.Now(), s.plan.Others)
 		s.mutex.Unlock()
 	} else {
 		var err error
-		totals, err = s.ask(collector, question{From: s.config.ID, Counts: pack(counts), Tallies: tallies})
+		totals, err = s.query(collector, queryMessage{From: s.config.ID, Counts: pack(counts), Tallies: tallies})
 		if err != nil {
-			s.noteSilent(collector, err)
+			s.skipCollector(collector, err)
 			return 0 // the next one is asked at once
 		}
 	}
@@ -178,68 +178,68 @@
 
 // periodFor returns the time between two questions in front of so many back ends.
 func periodFor(backEnds int) time.Duration {
-	return max(period, period*time.Duration(backEnds)/quickBackEnds)
+	return max(period, period*time.Duration(backEnds)/fullRateBackEnds)
 }
 
 // firstAnswering returns the gateway that collects for the group: the first one that
 // isn't passed over. This gateway answers itself.
-func (s *Service) firstAnswering(group Group) Gateway {
+func (s *Service) collectorOf(group Group) Gateway {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.config.Clock.Now()
 	for _, each := range group.Members {
-		if each.ID == s.config.ID || !now.Before(s.silentUntil[each.ID]) {
+		if each.ID == s.config.ID || !now.Before(s.skippedUntil[each.ID]) {
 			return each
 		}
 	}
 	return group.Members[0]
 }
 
-func (s *Service) noteSilent(collector Gateway, cause error) {
+func (s *Service) skipCollector(collector Gateway, cause error) {
 	if s.ctx.Err() != nil {
 		return
 	}
-	passedOver := silentTime
-	if errors.Is(cause, errNobodyTells) {
-		passedOver = untoldTime
+	skipTime := silentSkipTime
+	if errors.Is(cause, errNoMembers) {
+		skipTime = noMembersSkipTime
 	}
 	s.config.Metrics.Counter("collector_silent").Inc(1)
 	s.config.Log.Urgent(eventlog.CollectorSilent, logrus.Fields{"peer": collector.ID, "cause": cause.Error()})
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.silentUntil[collector.ID] = s.config.Clock.Now().Add(passedOver)
+	s.skippedUntil[collector.ID] = s.config.Clock.Now().Add(skipTime)
 }
 
 // askGroups asks the other groups' collectors for their sums, while members come to this
 // gateway.
-func (s *Service) askGroups(tasks *conc.WaitGroup) {
+func (s *Service) queryGroups(tasks *conc.WaitGroup) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !s.sums.Collecting(s.config.Clock.Now()) {
+	if !s.aggregator.HasMembers(s.config.Clock.Now()) {
 		return
 	}
 	for _, group := range s.plan.Others {
-		if s.asking[group.key()] {
+		if s.inFlight[group.key()] {
 			continue
 		}
-		s.asking[group.key()] = true
-		tasks.Go(func() { s.askGroup(group) })
+		s.inFlight[group.key()] = true
+		tasks.Go(func() { s.queryGroup(group) })
 	}
 }
 
-func (s *Service) askGroup(group Group) {
-	collector := s.firstAnswering(group)
-	sums, err := s.ask(collector, question{From: s.config.ID, Group: true})
-	if err == nil && sums.Counted == 0 {
-		err = errNobodyTells
+func (s *Service) queryGroup(group Group) {
+	collector := s.collectorOf(group)
+	totals, err := s.query(collector, queryMessage{From: s.config.ID, Group: true})
+	if err == nil && totals.Counted == 0 {
+		err = errNoMembers
 	}
 	if err != nil {
-		s.noteSilent(collector, err)
+		s.skipCollector(collector, err)
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.asking, group.key())
+	delete(s.inFlight, group.key())
 	if err == nil {
-		s.sums.TakeGroup(s.config.Clock.Now(), group.key(), sums)
+		s.aggregator.SetGroup(s.config.Clock.Now(), group.key(), totals)
 	}
 }
--- a/internal/collect/service_test.go
+++ b/internal/collect/service_test.go
@@ -28,16 +28,16 @@
 	mutex sync.Mutex
 	live  []Gateway
 	// tellsFrom is when it begins to tell its counts.
-	tellsFrom time.Time
-	totals    dispatch.Totals
-	tallies   []rollout.Tally
-	at        time.Time
+	reportsFrom time.Time
+	totals      dispatch.Totals
+	tallies     []rollout.Tally
+	totalsAt    time.Time
 }
 
 func (n *node) Live() ([]Gateway, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.live, !time.Now().Before(n.tellsFrom)
+	return n.live, !time.Now().Before(n.reportsFrom)
 }
 
 // Counts has one request under way at the same back end for every gateway.
@@ -46,7 +46,7 @@
 func (n *node) ApplyTotals(_ []dispatch.Count, totals dispatch.Totals) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.totals, n.at = totals, time.Now()
+	n.totals, n.totalsAt = totals, time.Now()
 }
 
 func (n *node) Tallies() []rollout.Tally {
@@ -60,10 +60,10 @@
 }
 
 // knows tells whether the last totals came of late and count so many gateways.
-func (n *node) knows(gateways int) bool {
+func (n *node) hasTotals(gateways int) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return time.Since(n.at) < 2*period && n.totals.Counted == gateways &&
+	return time.Since(n.totalsAt) < 2*period && n.totals.Counted == gateways &&
 		len(n.totals.Counts) == 1 && n.totals.Counts[0].Requests == uint32(gateways) &&
 		len(n.tallies) == 1 && n.tallies[0].Sent == 2*uint32(gateways)
 }
@@ -99,20 +99,20 @@
 
 // A connection that the collector closed since it rested is opened again within one
 // question: the collector isn't taken for silent.
-func TestRestedConnectionIsOpenedAgain(t *testing.T) {
+func TestClosedConnectionIsReopenedWithinOneQuery(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		nodes := startFleet(t, 12)
 		time.Sleep(2 * time.Second)
-		asker := nodes[0]
-		collector := NewPlan(asker.self.ID, asker.live).Others[0].Members[0]
-		_, err := asker.service.ask(collector, question{From: asker.self.ID, Group: true})
+		querying := nodes[0]
+		collector := NewPlan(querying.self.ID, querying.live).Others[0].Members[0]
+		_, err := querying.service.query(collector, queryMessage{From: querying.self.ID, Group: true})
 		is.NoErr(err)
-		rested := asker.service.known(collector.ID)
-		is.NoErr(rested.socket.CloseNow())
-		_, err = asker.service.ask(collector, question{From: asker.self.ID, Group: true})
+		closed := querying.service.linkTo(collector.ID)
+		is.NoErr(closed.socket.CloseNow())
+		_, err = querying.service.query(collector, queryMessage{From: querying.self.ID, Group: true})
 		is.NoErr(err)
-		is.True(asker.service.known(collector.ID) != rested)
+		is.True(querying.service.linkTo(collector.ID) != closed)
 		for _, each := range nodes {
 			each.stop()
 		}
@@ -121,7 +121,7 @@
 
 // A collector whose members don't tell it yet is asked again soon: one that was asked a moment
 // before the first of them told it was passed over for 3 s, and a whole zone unknown so long.
-func TestCollectorThatNobodyTellsYetIsAskedAgainSoon(t *testing.T) {
+func TestCollectorWithoutMembersIsQueriedAgainSoon(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const count = 40 // groups are larger than a second has questions
@@ -129,13 +129,13 @@
 		for _, each := range nodes {
 			if each.self.Zone == "z1" {
 				each.mutex.Lock()
-				each.tellsFrom = time.Now().Add(3 * period)
+				each.reportsFrom = time.Now().Add(3 * period)
 				each.mutex.Unlock()
 			}
 		}
-		time.Sleep(3*period + untoldTime + 4*period)
+		time.Sleep(3*period + noMembersSkipTime + 4*period)
 		for _, each := range nodes {
-			is.True(each.knows(count))
+			is.True(each.hasTotals(count))
 		}
 		for _, each := range nodes {
 			each.stop()
@@ -145,14 +145,14 @@
 
 // Every gateway knows the sums over all of them within two seconds of its start, and
 // again soon after the collector of its group was lost.
-func TestGatewaysKnowAllLoads(t *testing.T) {
+func TestAllGatewaysGetTheTotals(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const count = 40
 		nodes := startFleet(t, count)
 		time.Sleep(2 * time.Second)
 		for _, each := range nodes {
-			is.True(each.knows(count))
+			is.True(each.hasTotals(count))
 		}
 		lost := NewPlan(nodes[0].self.ID, nodes[0].live).Own.Members[0].ID
 		for _, each := range nodes {
@@ -160,10 +160,10 @@
 				each.stop()
 			}
 		}
-		time.Sleep(answerTime + freshSource + 3*period)
+		time.Sleep(answerTimeout + sourceTimeout + 3*period)
 		for _, each := range nodes {
 			if each.self.ID != lost {
-				is.True(each.knows(count - 1))
+				is.True(each.hasTotals(count - 1))
 				each.stop()
 			}
 		}
--- a/internal/collect/sums.go
+++ b/internal/collect/sums.go
@@ -10,52 +10,52 @@
 // freshSource is the age to which counts that were told once are added up: several of
 // their periods, so that a lost word takes nothing off, and a gateway that is gone
 // counts no longer than what it had sent takes to run.
-const freshSource = 1200 * time.Millisecond
+const sourceTimeout = 1200 * time.Millisecond
 
 // Sums adds up the counts that a collector was told: those of its members, and the sums
 // of the other groups. It is not safe for concurrent use.
-type Sums struct {
-	members ledgers
-	groups  ledgers
+type Aggregator struct {
+	members sumTables
+	groups  sumTables
 }
 
 // NewSums returns sums that know nothing.
-func NewSums() *Sums { return &Sums{members: newLedgers(), groups: newLedgers()} }
+func NewAggregator() *Aggregator { return &Aggregator{members: newSumTables(), groups: newSumTables()} }
 
 // TakeMember takes a gateway's own counts and tallies, which replace those that it told before.
-func (s *Sums) TakeMember(now time.Time, id string, counts []dispatch.Count, tallies []rollout.Tally) {
-	s.members.set(now, id, dispatch.Totals{Counts: counts, Tallies: tallies, Counted: 1})
+func (a *Aggregator) SetMember(now time.Time, id string, counts []dispatch.Count, tallies []rollout.Tally) {
+	a.members.set(now, id, dispatch.Totals{Counts: counts, Tallies: tallies, Counted: 1})
 }
 
 // TakeGroup takes the sums over another group.
-func (s *Sums) TakeGroup(now time.Time, group string, sums dispatch.Totals) {
-	s.groups.set(now, group, sums)
+func (a *Aggregator) SetGroup(now time.Time, group string, totals dispatch.Totals) {
+	a.groups.set(now, group, totals)
 }
 
 // Collecting tells whether a gateway told its counts of late.
-func (s *Sums) Collecting(now time.Time) bool {
-	s.members.expire(now)
-	return s.members.counted() > 0
+func (a *Aggregator) HasMembers(now time.Time) bool {
+	a.members.expire(now)
+	return a.members.counted() > 0
 }
 
 // Group returns the sums over the members alone.
-func (s *Sums) Group(now time.Time) dispatch.Totals {
-	s.members.expire(now)
-	return s.members.totals()
+func (a *Aggregator) GroupTotals(now time.Time) dispatch.Totals {
+	a.members.expire(now)
+	return a.members.totals()
 }
 
 // Totals returns the sums over all that is known. Those of the others that should be
 // known and aren't count as expected.
-func (s *Sums) Totals(now time.Time, others []Group) dispatch.Totals {
-	s.members.expire(now)
-	s.groups.expire(now)
-	totals, more := s.members.totals(), s.groups.totals()
-	totals.Counts = addUp[uint32](totals.Counts, more.Counts)
-	totals.Tallies = addUp[rollout.Key](totals.Tallies, more.Tallies)
+func (a *Aggregator) Totals(now time.Time, others []Group) dispatch.Totals {
+	a.members.expire(now)
+	a.groups.expire(now)
+	totals, more := a.members.totals(), a.groups.totals()
+	totals.Counts = addSums[uint32](totals.Counts, more.Counts)
+	totals.Tallies = addSums[rollout.Key](totals.Tallies, more.Tallies)
 	totals.Counted += more.Counted
 	totals.Expected = totals.Counted
 	for _, group := range others {
-		if !s.groups.knows(group.key()) {
+		if !a.groups.has(group.key()) {
 			totals.Expected += len(group.Members)
 		}
 	}
@@ -63,37 +63,37 @@
 }
 
 // ledgers add up the counts and the tallies of the same sources.
-type ledgers struct {
-	counts  ledger[uint32, dispatch.Count]
-	tallies ledger[rollout.Key, rollout.Tally]
+type sumTables struct {
+	counts  sumTable[uint32, dispatch.Count]
+	tallies sumTable[rollout.Key, rollout.Tally]
 }
 
-func newLedgers() ledgers {
-	return ledgers{counts: newLedger[uint32, dispatch.Count](), tallies: newLedger[rollout.Key, rollout.Tally]()}
+func newSumTables() sumTables {
+	return sumTables{counts: newSumTable[uint32, dispatch.Count](), tallies: newSumTable[rollout.Key, rollout.Tally]()}
 }
 
-func (l *ledgers) set(now time.Time, id string, told dispatch.Totals) {
-	l.counts.set(now, id, told.Counts, told.Counted)
-	l.tallies.set(now, id, told.Tallies, told.Counted)
+func (t *sumTables) set(now time.Time, id string, totals dispatch.Totals) {
+	t.counts.set(now, id, totals.Counts, totals.Counted)
+	t.tallies.set(now, id, totals.Tallies, totals.Counted)
 }
 
-func (l *ledgers) expire(now time.Time) {
-	l.counts.expire(now)
-	l.tallies.expire(now)
+func (t *sumTables) expire(now time.Time) {
+	t.counts.expire(now)
+	t.tallies.expire(now)
 }
 
 // counted returns the number of gateways in the sums.
-func (l *ledgers) counted() int { return l.counts.counted() }
+func (t *sumTables) counted() int { return t.counts.counted() }
 
-func (l *ledgers) knows(id string) bool {
-	_, known := l.counts.sources[id]
+func (t *sumTables) has(id string) bool {
+	_, known := t.counts.sources[id]
 	return known
 }
 
 // totals returns the sums, of which all that are expected are counted.
-func (l *ledgers) totals() dispatch.Totals {
-	counted := l.counted()
-	return dispatch.Totals{Counts: l.counts.totals(), Tallies: l.tallies.totals(), Counted: counted, Expected: counted}
+func (t *sumTables) totals() dispatch.Totals {
+	counted := t.counted()
+	return dispatch.Totals{Counts: t.counts.totals(), Tallies: t.tallies.totals(), Counted: counted, Expected: counted}
 }
 
 // summable is what a ledger adds up by a key.
@@ -105,7 +105,7 @@
 }
 
 // addUp returns the sums of two lists, of which each holds a key once. It extends the first.
-func addUp[K comparable, C summable[K, C]](list, more []C) []C {
+func addSums[K comparable, C summable[K, C]](list, more []C) []C {
 	index := make(map[K]int, len(list))
 	for i, each := range list {
 		index[each.SumKey()] = i
@@ -121,66 +121,66 @@
 }
 
 // ledger adds up what sources tell, each of which may replace its own.
-type ledger[K comparable, C summable[K, C]] struct {
+type sumTable[K comparable, C summable[K, C]] struct {
 	sources map[string]source[C]
-	sum     map[K]C
+	sums    map[K]C
 }
 
 type source[C any] struct {
-	at       time.Time
-	told     []C
-	gateways int
+	receivedAt time.Time
+	values     []C
+	gateways   int
 }
 
-func newLedger[K comparable, C summable[K, C]]() ledger[K, C] {
-	return ledger[K, C]{sources: map[string]source[C]{}, sum: map[K]C{}}
+func newSumTable[K comparable, C summable[K, C]]() sumTable[K, C] {
+	return sumTable[K, C]{sources: map[string]source[C]{}, sums: map[K]C{}}
 }
 
-func (l *ledger[K, C]) set(now time.Time, id string, told []C, gateways int) {
-	l.remove(id)
-	for _, each := range told {
-		if known, exists := l.sum[each.SumKey()]; exists {
+func (t *sumTable[K, C]) set(now time.Time, id string, values []C, gateways int) {
+	t.remove(id)
+	for _, each := range values {
+		if known, exists := t.sums[each.SumKey()]; exists {
 			each = each.Plus(known)
 		}
-		l.sum[each.SumKey()] = each
+		t.sums[each.SumKey()] = each
 	}
-	l.sources[id] = source[C]{at: now, told: told, gateways: gateways}
+	t.sources[id] = source[C]{receivedAt: now, values: values, gateways: gateways}
 }
 
 // remove takes off what the source had added.
-func (l *ledger[K, C]) remove(id string) {
-	for _, each := range l.sources[id].told {
-		rest := l.sum[each.SumKey()].Minus(each)
+func (t *sumTable[K, C]) remove(id string) {
+	for _, each := range t.sources[id].values {
+		rest := t.sums[each.SumKey()].Minus(each)
 		if rest.IsZero() {
-			delete(l.sum, each.SumKey())
+			delete(t.sums, each.SumKey())
 			continue
 		}
-		l.sum[each.SumKey()] = rest
+		t.sums[each.SumKey()] = rest
 	}
-	delete(l.sources, id)
+	delete(t.sources, id)
 }
 
-func (l *ledger[K, C]) expire(now time.Time) {
-	for id, each := range l.sources {
-		if now.Sub(each.at) > freshSource {
-			l.remove(id)
+func (t *sumTable[K, C]) expire(now time.Time) {
+	for id, each := range t.sources {
+		if now.Sub(each.receivedAt) > sourceTimeout {
+			t.remove(id)
 		}
 	}
 }
 
 // totals returns the sums.
-func (l *ledger[K, C]) totals() []C {
-	totals := make([]C, 0, len(l.sum))
-	for _, each := range l.sum {
+func (t *sumTable[K, C]) totals() []C {
+	totals := make([]C, 0, len(t.sums))
+	for _, each := range t.sums {
 		totals = append(totals, each)
 	}
 	return totals
 }
 
 // counted returns the number of gateways in the sums.
-func (l *ledger[K, C]) counted() int {
+func (t *sumTable[K, C]) counted() int {
 	counted := 0
-	for _, each := range l.sources {
+	for _, each := range t.sources {
 		counted += each.gateways
 	}
 	return counted
--- a/internal/collect/sums_test.go
+++ b/internal/collect/sums_test.go
@@ -14,9 +14,9 @@
 
 // Whatever words come, doubled or replaced, the sums are those of each source's last one
 // that is still fresh.
-func TestSumsAreThoseOfTheLastWords(t *testing.T) {
+func TestTotalsUseTheLatestReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sums := NewSums()
+		aggregator := NewAggregator()
 		now := start
 		last := map[string]source[dispatch.Count]{}
 		for range rapid.IntRange(1, 60).Draw(t, "words") {
@@ -28,21 +28,21 @@
 					counts = append(counts, dispatch.Count{Key: key, Requests: requests, Demand: 2 * requests})
 				}
 			}
-			last[id] = source[dispatch.Count]{at: now, told: counts}
-			sums.TakeMember(now, id, counts, nil)
+			last[id] = source[dispatch.Count]{receivedAt: now, values: counts}
+			aggregator.SetMember(now, id, counts, nil)
 			if rapid.Bool().Draw(t, "doubled") {
-				sums.TakeMember(now, id, counts, nil)
+				aggregator.SetMember(now, id, counts, nil)
 			}
 			want, counted := map[uint32]uint32{}, 0
 			for _, each := range last {
-				if now.Sub(each.at) <= freshSource {
+				if now.Sub(each.receivedAt) <= sourceTimeout {
 					counted++
-					for _, count := range each.told {
+					for _, count := range each.values {
 						want[count.Key] += count.Requests
 					}
 				}
 			}
-			got := sums.Totals(now, nil)
+			got := aggregator.Totals(now, nil)
 			if got.Counted != counted || len(got.Counts) != len(want) {
 				t.Fatalf("%d gateways and %d keys, want %d and %d", got.Counted, len(got.Counts), counted, len(want))
 			}
@@ -55,21 +55,21 @@
 	})
 }
 
-func TestGroupsThatAreNotKnownAreExpected(t *testing.T) {
+func TestUnknownGroupsCountAsExpected(t *testing.T) {
 	is := is.New(t)
-	sums := NewSums()
+	aggregator := NewAggregator()
 	others := []Group{{Zone: "a", Members: make([]Gateway, 17)}, {Zone: "b", Members: make([]Gateway, 16)}}
-	sums.TakeMember(start, "g0", []dispatch.Count{{Key: 1, Requests: 2}}, nil)
-	sums.TakeGroup(start, others[0].key(), dispatch.Totals{Counts: []dispatch.Count{{Key: 1, Requests: 5}, {Key: 2, Requests: 1}}, Counted: 15})
-	totals := sums.Totals(start, others)
+	aggregator.SetMember(start, "g0", []dispatch.Count{{Key: 1, Requests: 2}}, nil)
+	aggregator.SetGroup(start, others[0].key(), dispatch.Totals{Counts: []dispatch.Count{{Key: 1, Requests: 5}, {Key: 2, Requests: 1}}, Counted: 15})
+	totals := aggregator.Totals(start, others)
 	is.Equal(totals.Counted, 16)
 	is.Equal(totals.Expected, 32) // the second group has 16
 	is.Equal(len(totals.Counts), 2)
-	is.Equal(sums.Group(start).Counted, 1)
+	is.Equal(aggregator.GroupTotals(start).Counted, 1)
 }
 
 // All gateways agree on the collectors; each is in one group; the largest collect.
-func TestPlansAgree(t *testing.T) {
+func TestGatewaysAgreeOnThePlan(t *testing.T) {
 	for _, gateways := range []int{1, 11, 33, 103, 340} {
 		is := is.New(t)
 		var live []Gateway
@@ -84,7 +84,7 @@
 		for _, each := range live {
 			plan := NewPlan(each.ID, live)
 			is.True(plan.Own.has(each.ID))
-			is.True(len(plan.Own.Members) <= groupSize)
+			is.True(len(plan.Own.Members) <= maxGroupSize)
 			is.Equal(plan.Own.Zone, each.Zone)
 			members := len(plan.Own.Members)
 			for _, group := range append(plan.Others, plan.Own) {
@@ -109,12 +109,12 @@
 		var counts []dispatch.Count
 		for range rapid.IntRange(0, 20).Draw(t, "count") {
 			counts = append(counts, dispatch.Count{
-				Key: rapid.Uint32Range(0, 1<<dispatch.CountKeyBits-1).Draw(t, "key"), Requests: rapid.Uint32Range(0, mostCount/2-1).Draw(t, "requests"),
-				Demand: rapid.Uint32Range(0, mostCount).Draw(t, "wanted"),
+				Key: rapid.Uint32Range(0, 1<<dispatch.CountKeyBits-1).Draw(t, "key"), Requests: rapid.Uint32Range(0, maxCount/2-1).Draw(t, "requests"),
+				Demand: rapid.Uint32Range(0, maxCount).Draw(t, "wanted"),
 			})
 			if rapid.Bool().Draw(t, "some ended") {
-				counts[len(counts)-1].Ended = rapid.Uint32Range(1, mostCount).Draw(t, "ended")
-				counts[len(counts)-1].ResidenceMillis = rapid.Uint32Range(0, mostCount).Draw(t, "took")
+				counts[len(counts)-1].Ended = rapid.Uint32Range(1, maxCount).Draw(t, "ended")
+				counts[len(counts)-1].ResidenceMillis = rapid.Uint32Range(0, maxCount).Draw(t, "took")
 			}
 		}
 		read, err := pack(counts).unpack()
@@ -128,12 +128,12 @@
 	f.Add([]byte(pack([]dispatch.Count{{Key: 1, Requests: 2, Demand: 300}})))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		counts, err := packed(raw).unpack()
+		counts, err := packedCounts(raw).unpack()
 		if err != nil {
 			return
 		}
 		for _, each := range counts {
-			if each.Requests > mostCount || each.Demand > mostCount {
+			if each.Requests > maxCount || each.Demand > maxCount {
 				t.Fatalf("%v is out of range", each)
 			}
 		}
@@ -142,7 +142,7 @@
 
 // What collecting costs at the aimed size, in front of 660 back ends: the answers to a
 // member, and what a collector of a full group sends.
-func TestTrafficAtTheAimedSize(t *testing.T) {
+func TestTrafficAtTargetFleetSize(t *testing.T) {
 	is := is.New(t)
 	const backEnds, gateways = 660, 340
 	totals := dispatch.Totals{Counted: gateways, Expected: gateways}
@@ -152,9 +152,9 @@
 	raw, err := encodeAnswer(totals)
 	is.NoErr(err)
 	perSecond := 1 / periodFor(backEnds).Seconds()
-	groups := (gateways + groupSize - 1) / groupSize
+	groups := (gateways + maxGroupSize - 1) / maxGroupSize
 	member := float64(len(raw)) * perSecond
-	collector := member * float64(groupSize+groups-1)
+	collector := member * float64(maxGroupSize+groups-1)
 	t.Logf("%d bytes an answer, %.1f KB/s to a member, %.0f KB/s from a collector", len(raw), member/1000, collector/1000)
 	is.True(member < 14_500)
 }
--- a/internal/relay/book.go
+++ b/internal/relay/book.go
@@ -38,93 +38,93 @@
 	// liveAge is how long a gateway counts as live after it was heard of, and
 	// liveAgePerPeer how much longer for each gateway known: in a large fleet each
 	// is told of more seldom.
-	liveAge        = 6 * time.Second
-	liveAgePerPeer = 50 * time.Millisecond
+	liveTimeout        = 6 * time.Second
+	liveTimeoutPerPeer = 50 * time.Millisecond
 	// maxTold bounds the peers in one message; the next one goes on from there.
-	maxTold = 16
+	maxPeersPerMessage = 16
 	// forgetAge is how long its address is kept.
-	forgetAge = 5 * time.Minute
+	forgetTimeout = 5 * time.Minute
 	// meshSize is the number of gateways up to which all are connected.
-	meshSize = 10
+	fullMeshSize = 10
 	// fewestReaders is the number of gateways that read and watch the store all the
 	// time; the others learn from them and read seldom. So the calls to the store
 	// don't grow with the fleet. More of them cost more calls, and make it less likely
 	// that all are turned away at once: of more than meshSize gateways, mostReaders
 	// read, since there it takes longer until the others notice.
-	fewestReaders = 3
-	mostReaders   = 4
+	smallFleetReaders = 3
+	largeFleetReaders = 4
 	// freshStore is the age to which a gateway's last answer of the store counts,
 	// and freshStorePerPeer how much older it may be for each gateway known.
-	freshStore        = 2 * time.Second
-	freshStorePerPeer = 10 * time.Millisecond
+	maxStoreAge        = 2 * time.Second
+	maxStoreAgePerPeer = 10 * time.Millisecond
 	// freshLink is how long ago a peer must have been heard directly for a gateway
 	// to leave the reading to others.
-	freshLink = time.Second
+	contactTimeout = time.Second
 )
 
 // Book knows the other gateways. It is not safe for concurrent use.
-type Book struct {
-	id      string
-	address string
-	seeds   []string
-	peers   map[string]*known
-	dialed  map[string]time.Time
+type PeerTable struct {
+	id       string
+	address  string
+	seeds    []string
+	peers    map[string]*peerState
+	dialedAt map[string]time.Time
 	// toldUpTo is the last peer that was told to others.
-	toldUpTo string
+	lastSent string
 	// seedsAt is when the seeds were last tried.
-	seedsAt time.Time
+	seedsDialedAt time.Time
 	// ring is that of the last look at the neighbours.
 	ring ring
 }
 
-type known struct {
-	address string
-	heardAt time.Time
+type peerState struct {
+	address    string
+	lastSeenAt time.Time
 	// directAt is when its last own message came.
-	directAt time.Time
+	lastMessageAt time.Time
 	// storeAt is when the store last answered it.
-	storeAt time.Time
-	links   int
+	storeAnsweredAt time.Time
+	links           int
 	// zone and capacity are those of Peer.
 	zone     string
 	capacity int
 }
 
 // NewBook returns the book of a gateway that knows its seeds' addresses alone.
-func NewBook(id, address string, seeds []string) *Book {
-	return &Book{id: id, address: address, seeds: seeds, peers: map[string]*known{}, dialed: map[string]time.Time{}}
+func NewPeerTable(id, address string, seeds []string) *PeerTable {
+	return &PeerTable{id: id, address: address, seeds: seeds, peers: map[string]*peerState{}, dialedAt: map[string]time.Time{}}
 }
 
 // SetSeeds replaces the seeds.
-func (b *Book) SetSeeds(seeds []string) { b.seeds = seeds }
+func (t *PeerTable) SetSeeds(seeds []string) { t.seeds = seeds }
 
 // Heard notes a message from a peer, with the peers that it knows.
-func (b *Book) Heard(now time.Time, from Peer, others []Peer) {
-	b.note(now, from)
-	if sender := b.peers[from.ID]; sender != nil {
-		sender.directAt = now
+func (t *PeerTable) ObserveMessage(now time.Time, from Peer, others []Peer) {
+	t.merge(now, from)
+	if sender := t.peers[from.ID]; sender != nil {
+		sender.lastMessageAt = now
 	}
 	for _, other := range others {
-		b.note(now, other)
+		t.merge(now, other)
 	}
 }
 
-func (b *Book) note(now time.Time, told Peer) {
-	if told.ID == b.id || told.ID == "" || told.Address == "" || told.AgeMillis < 0 {
+func (t *PeerTable) merge(now time.Time, report Peer) {
+	if report.ID == t.id || report.ID == "" || report.Address == "" || report.AgeMillis < 0 {
 		return
 	}
-	peer := b.peers[told.ID]
+	peer := t.peers[report.ID]
 	if peer == nil {
-		peer = &known{}
-		b.peers[told.ID] = peer
+		peer = &peerState{}
+		t.peers[report.ID] = peer
 	}
-	heardAt := now.Add(-time.Duration(told.AgeMillis) * time.Millisecond)
-	if heardAt.After(peer.heardAt) {
-		peer.heardAt = heardAt
-		peer.address = told.Address
-		peer.zone = told.Zone
-		peer.capacity = told.Capacity
-		peer.storeAt = heardAt.Add(-time.Duration(told.StoreAgeMillis) * time.Millisecond)
+	seenAt := now.Add(-time.Duration(report.AgeMillis) * time.Millisecond)
+	if seenAt.After(peer.lastSeenAt) {
+		peer.lastSeenAt = seenAt
+		peer.address = report.Address
+		peer.zone = report.Zone
+		peer.capacity = report.Capacity
+		peer.storeAnsweredAt = seenAt.Add(-time.Duration(report.StoreAgeMillis) * time.Millisecond)
 	}
 }
 
@@ -135,27 +135,27 @@
 // A gateway that hears of no peer reads for itself. The gateways may disagree for a moment:
 // then a few more read, or the others' seldom reads make up for it. storeAge is how long ago
 // the store answered this gateway.
-func (b *Book) Place(now time.Time, storeAge time.Duration) gateway.Place {
-	place := gateway.Place{Gateways: b.Live(now), Duty: gateway.Reader}
-	if !b.isLinked(now) {
+func (t *PeerTable) Place(now time.Time, storeAge time.Duration) gateway.Place {
+	place := gateway.Place{Gateways: t.LiveCount(now), Duty: gateway.Reader}
+	if !t.hasContact(now) {
 		return place
 	}
-	reading := b.reading(now)
-	place.Rank = b.before(reading)
+	readers := t.currentReaders(now)
+	place.Rank = t.rankAmong(readers)
 	switch {
-	case len(reading) == b.readers() && place.Rank == len(reading):
+	case len(readers) == t.readerCount() && place.Rank == len(readers):
 		place.Duty = gateway.Learner
-	case len(reading) == b.readers() || storeAge <= b.freshStore():
-	case place.Rank+b.before(b.liveWithout(now, reading)) >= b.readers():
+	case len(readers) == t.readerCount() || storeAge <= t.storeAgeLimit():
+	case place.Rank+t.rankAmong(t.liveExcept(now, readers)) >= t.readerCount():
 		place.Duty = gateway.Standby
 	}
 	return place
 }
 
 // isLinked tells whether a peer was heard directly of late.
-func (b *Book) isLinked(now time.Time) bool {
-	for _, peer := range b.peers {
-		if now.Sub(peer.directAt) <= freshLink {
+func (t *PeerTable) hasContact(now time.Time) bool {
+	for _, peer := range t.peers {
+		if now.Sub(peer.lastMessageAt) <= contactTimeout {
 			return true
 		}
 	}
@@ -163,8 +163,8 @@
 }
 
 // before returns how many of the peers come before this gateway in hash order.
-func (b *Book) before(peers []string) int {
-	own, count := xxhash.Sum64String(b.id), 0
+func (t *PeerTable) rankAmong(peers []string) int {
+	own, count := xxhash.Sum64String(t.id), 0
 	for _, id := range peers {
 		if xxhash.Sum64String(id) < own {
 			count++
@@ -174,10 +174,10 @@
 }
 
 // liveWithout returns the live peers but those.
-func (b *Book) liveWithout(now time.Time, but []string) []string {
+func (t *PeerTable) liveExcept(now time.Time, excluded []string) []string {
 	var live []string
-	for id, peer := range b.peers {
-		if b.isLive(now, peer) && !slices.Contains(but, id) {
+	for id, peer := range t.peers {
+		if t.isLive(now, peer) && !slices.Contains(excluded, id) {
 			live = append(live, id)
 		}
 	}
@@ -185,51 +185,51 @@
 }
 
 // readers is how many gateways read the store all the time.
-func (b *Book) readers() int {
-	if len(b.peers) < meshSize {
-		return fewestReaders
+func (t *PeerTable) readerCount() int {
+	if len(t.peers) < fullMeshSize {
+		return smallFleetReaders
 	}
-	return mostReaders
+	return largeFleetReaders
 }
 
 // freshStore is the age to which a gateway's last answer of the store counts.
-func (b *Book) freshStore() time.Duration {
-	return freshStore + time.Duration(len(b.peers))*freshStorePerPeer
+func (t *PeerTable) storeAgeLimit() time.Duration {
+	return maxStoreAge + time.Duration(len(t.peers))*maxStoreAgePerPeer
 }
 
 // reading returns the first peers, in hash order, that the store answers.
-func (b *Book) reading(now time.Time) []string {
-	fresh := b.freshStore()
+func (t *PeerTable) currentReaders(now time.Time) []string {
+	limit := t.storeAgeLimit()
 	var answered []string
-	for id, peer := range b.peers {
-		if now.Sub(peer.heardAt) <= fresh && now.Sub(peer.storeAt) <= fresh {
+	for id, peer := range t.peers {
+		if now.Sub(peer.lastSeenAt) <= limit && now.Sub(peer.storeAnsweredAt) <= limit {
 			answered = append(answered, id)
 		}
 	}
 	slices.SortFunc(answered, func(a, c string) int { return cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(c)) })
-	return answered[:min(b.readers(), len(answered))]
+	return answered[:min(t.readerCount(), len(answered))]
 }
 
 // LinkUp and LinkDown count the open connections to a peer.
-func (b *Book) LinkUp(id string) {
-	if b.peers[id] == nil {
-		b.peers[id] = &known{}
+func (t *PeerTable) LinkUp(id string) {
+	if t.peers[id] == nil {
+		t.peers[id] = &peerState{}
 	}
-	b.peers[id].links++
+	t.peers[id].links++
 }
 
 // LinkDown is the end of a connection.
-func (b *Book) LinkDown(id string) {
-	if peer := b.peers[id]; peer != nil {
+func (t *PeerTable) LinkDown(id string) {
+	if peer := t.peers[id]; peer != nil {
 		peer.links--
 	}
 }
 
 // Live returns the number of live gateways, this one included.
-func (b *Book) Live(now time.Time) int {
+func (t *PeerTable) LiveCount(now time.Time) int {
 	count := 1
-	for _, peer := range b.peers {
-		if b.isLive(now, peer) {
+	for _, peer := range t.peers {
+		if t.isLive(now, peer) {
 			count++
 		}
 	}
@@ -237,68 +237,68 @@
 }
 
 // Fleet returns all gateways that were heard of and aren't forgotten, live or not.
-func (b *Book) Fleet() dispatch.Fleet {
-	fleet := dispatch.Fleet{Self: b.id}
-	for id, peer := range b.peers {
-		if !peer.heardAt.IsZero() {
+func (t *PeerTable) Fleet() dispatch.Fleet {
+	fleet := dispatch.Fleet{Self: t.id}
+	for id, peer := range t.peers {
+		if !peer.lastSeenAt.IsZero() {
 			fleet.Known = append(fleet.Known, id)
 		}
 	}
-	for _, seed := range b.seeds {
-		fleet.HasSeeds = fleet.HasSeeds || seed != b.address
+	for _, seed := range t.seeds {
+		fleet.HasSeeds = fleet.HasSeeds || seed != t.address
 	}
 	return fleet
 }
 
 // LivePeers returns the other live gateways.
-func (b *Book) LivePeers(now time.Time) []Peer {
+func (t *PeerTable) LivePeers(now time.Time) []Peer {
 	var live []Peer
-	for _, id := range b.ids() {
-		if b.isLive(now, b.peers[id]) {
-			live = append(live, b.tell(now, id))
+	for _, id := range t.ids() {
+		if t.isLive(now, t.peers[id]) {
+			live = append(live, t.describe(now, id))
 		}
 	}
 	return live
 }
 
-func (b *Book) isLive(now time.Time, peer *known) bool {
-	return now.Sub(peer.heardAt) <= liveAge+time.Duration(len(b.peers))*liveAgePerPeer
+func (t *PeerTable) isLive(now time.Time, peer *peerState) bool {
+	return now.Sub(peer.lastSeenAt) <= liveTimeout+time.Duration(len(t.peers))*liveTimeoutPerPeer
 }
 
 // Known returns some of the live peers for a message: those that read the store,
 // which all gateways must agree on, and some of the others, so that calls one after
 // another go through all of them.
-func (b *Book) Known(now time.Time) []Peer {
-	ids := b.ids()
-	first, _ := slices.BinarySearch(ids, b.toldUpTo+"\x00")
-	reading := b.reading(now)
+func (t *PeerTable) PeersForMessage(now time.Time) []Peer {
+	ids := t.ids()
+	first, _ := slices.BinarySearch(ids, t.lastSent+"\x00")
+	readers := t.currentReaders(now)
 	var list []Peer
-	for _, id := range reading {
-		list = append(list, b.tell(now, id))
+	for _, id := range readers {
+		list = append(list, t.describe(now, id))
 	}
-	for i := 0; i < len(ids) && len(list) < maxTold; i++ {
+	for i := 0; i < len(ids) && len(list) < maxPeersPerMessage; i++ {
 		id := ids[(first+i)%len(ids)]
-		if !b.isLive(now, b.peers[id]) || slices.Contains(reading, id) {
+		if !t.isLive(now, t.peers[id]) || slices.Contains(readers, id) {
 			continue
 		}
-		list = append(list, b.tell(now, id))
-		b.toldUpTo = id
+		list = append(list, t.describe(now, id))
+		t.lastSent = id
 	}
 	return list
 }
 
-func (b *Book) tell(now time.Time, id string) Peer {
-	peer := b.peers[id]
+func (t *PeerTable) describe(now time.Time, id string) Peer {
+	peer := t.peers[id]
 	return Peer{
-		ID: id, Address: peer.address, AgeMillis: now.Sub(peer.heardAt).Milliseconds(),
-		StoreAgeMillis: min(peer.heardAt.Sub(peer.storeAt), forgetAge).Milliseconds(),
+		ID: id, Address: peer.address, AgeMillis: now.Sub(peer.lastSeenAt).Milliseconds(),
+		StoreAgeMillis: min(peer.lastSeenAt.Sub(peer.storeAnsweredAt), forgetTimeout).Milliseconds(),
 		Zone:           peer.zone, Capacity: peer.capacity,
 	}
 }
 
-func (b *Book) ids() []string {
-	ids := make([]string, 0, len(b.peers))
-	for id := range b.peers {
+func (t *PeerTable) ids() []string {
+	ids := make([]string, 0, len(t.peers))
+	for id := range t.peers {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
--- a/internal/relay/connect.go
+++ b/internal/relay/connect.go
@@ -15,7 +15,7 @@
 
 const (
 	// silence is how long a connection may be without a message.
-	silence = 2 * time.Second
+	idleTimeout = 2 * time.Second
 	// dialTimeout and writeTimeout bound one step.
 	dialTimeout  = 600 * time.Millisecond
 	writeTimeout = time.Second
@@ -23,21 +23,21 @@
 	// and configurations, which repeat their words, and not the messages of each period,
 	// for which it isn't worth its processor time. In front of 2,998 back ends 298 gateways
 	// sent half as many bytes with it (296 to 143 KB a second, a day with all faults).
-	compressedBytes = 2048
+	compressionThreshold = 2048
 )
 
 // connect opens the connections that the book wants.
-func (r *Relay) connect() {
+func (r *Relay) maintainLinks() {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
 		r.mutex.Lock()
-		due := r.book.Dial(r.config.State.Clock().Now())
-		place := r.book.Place(r.config.State.Clock().Now(), r.config.State.StoreAge())
+		due := r.peers.DialTargets(r.config.State.Clock().Now())
+		place := r.peers.Place(r.config.State.Clock().Now(), r.config.State.StoreAge())
 		r.closeSurplus(r.config.State.Clock().Now())
-		known := r.book.Fleet()
+		fleet := r.peers.Fleet()
 		r.mutex.Unlock()
-		r.config.State.SetFleet(place, known)
+		r.config.State.SetFleet(place, fleet)
 		for _, address := range due {
 			r.spawn(func() { r.dial(address) })
 		}
@@ -51,25 +51,25 @@
 
 // openedLink is a connection that this gateway opened.
 type openedLink struct {
-	at  time.Time
-	end context.CancelFunc
+	openedAt time.Time
+	cancel   context.CancelFunc
 }
 
 // surplusAge is how long a connection is kept that is needed no more: both sides have
 // told each other what they know by then.
-const surplusAge = 2 * time.Second
+const minLinkAge = 2 * time.Second
 
 // closeSurplus ends connections to seeds that aren't needed any more: else a fleet of
 // hundreds would hang on three gateways.
 func (r *Relay) closeSurplus(now time.Time) {
-	var rested []string
+	var candidates []string
 	for peer, link := range r.opened {
-		if now.Sub(link.at) >= surplusAge {
-			rested = append(rested, peer)
+		if now.Sub(link.openedAt) >= minLinkAge {
+			candidates = append(candidates, peer)
 		}
 	}
-	for _, peer := range r.book.Surplus(rested) {
-		r.opened[peer].end()
+	for _, peer := range r.peers.Surplus(candidates) {
+		r.opened[peer].cancel()
 	}
 }
 
@@ -79,18 +79,18 @@
 	header := http.Header{hop.HeaderNode: []string{r.config.ID}}
 	socket, response, err := websocket.Dial(ctx, "ws://"+address+Path, &websocket.DialOptions{
 		HTTPClient: r.client, HTTPHeader: header,
-		CompressionMode: websocket.CompressionNoContextTakeover, CompressionThreshold: compressedBytes,
+		CompressionMode: websocket.CompressionNoContextTakeover, CompressionThreshold: compressionThreshold,
 	})
 	if err != nil {
 		return
 	}
 	peer := response.Header.Get(hop.HeaderNode)
-	linked, end := context.WithCancel(r.ctx)
-	defer end()
+	linkCtx, cancelLink := context.WithCancel(r.ctx)
+	defer cancelLink()
 	r.mutex.Lock()
-	r.opened[peer] = openedLink{at: r.config.State.Clock().Now(), end: end}
+	r.opened[peer] = openedLink{openedAt: r.config.State.Clock().Now(), cancel: cancelLink}
 	r.mutex.Unlock()
-	r.serve(linked, socket, peer)
+	r.serve(linkCtx, socket, peer)
 	r.mutex.Lock()
 	delete(r.opened, peer)
 	r.mutex.Unlock()
@@ -104,7 +104,7 @@
 	}
 	w.Header().Set(hop.HeaderNode, r.config.ID)
 	socket, err := websocket.Accept(w, request, &websocket.AcceptOptions{
-		CompressionMode: websocket.CompressionNoContextTakeover, CompressionThreshold: compressedBytes,
+		CompressionMode: websocket.CompressionNoContextTakeover, CompressionThreshold: compressionThreshold,
 	})
 	if err != nil {
 		return
@@ -122,18 +122,18 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.mutex.Lock()
-	r.book.LinkUp(peer)
+	r.peers.LinkUp(peer)
 	r.mutex.Unlock()
 	r.config.Log.Urgent(eventlog.PeerRegained, logrus.Fields{"peer": peer})
 	opened := newLink(socket)
 	var writer conc.WaitGroup
-	writer.Go(func() { defer cancel(); r.write(ctx, opened) })
-	err := r.read(ctx, opened)
+	writer.Go(func() { defer cancel(); r.writeLoop(ctx, opened) })
+	err := r.readLoop(ctx, opened)
 	cancel()
 	_ = socket.CloseNow()
 	writer.Wait()
 	r.mutex.Lock()
-	r.book.LinkDown(peer)
+	r.peers.LinkDown(peer)
 	r.mutex.Unlock()
 	r.config.Log.Urgent(eventlog.PeerLost, logrus.Fields{"peer": peer, "cause": err.Error()})
 }
--- a/internal/relay/hear.go
+++ b/internal/relay/hear.go
@@ -15,71 +15,71 @@
 
 const (
 	// askAgain is how long a question for a document may go without an answer.
-	askAgain = 400 * time.Millisecond
+	documentRetryDelay = 400 * time.Millisecond
 )
 
-func (r *Relay) read(ctx context.Context, from *link) error {
+func (r *Relay) readLoop(ctx context.Context, from *link) error {
 	for {
-		message, err := r.readOne(ctx, from.socket)
+		message, err := r.readMessage(ctx, from.socket)
 		if err != nil {
 			return err
 		}
-		from.note(message.Entries)
-		from.noteHoldings(message.Holdings)
-		r.take(message)
-		r.askFor(from, message)
-		if message.Lacking != 0 {
-			from.noteAsked(message)
-			from.wakeUp()
+		from.recordEntries(message.Entries)
+		from.recordHoldings(message.Holdings)
+		r.applyMessage(message)
+		r.requestMissing(from, message)
+		if message.Requested != 0 {
+			from.addPeerRequest(message)
+			from.wakeWriter()
 		}
-		if message.Want {
-			from.give.Store(true)
-			from.wakeUp()
+		if message.WantDocument {
+			from.sendDocument.Store(true)
+			from.wakeWriter()
 		}
-		if r.shouldAsk(message.Version) {
-			from.ask.Store(true)
-			from.wakeUp()
+		if r.shouldRequestDocument(message.Version) {
+			from.requestDocument.Store(true)
+			from.wakeWriter()
 		}
 	}
 }
 
 // askFor asks the peer for back ends that it knows and this gateway doesn't.
-func (r *Relay) askFor(from *link, message Message) {
+func (r *Relay) requestMissing(from *link, message Message) {
 	r.mutex.Lock()
-	from.repair.hear(&r.questions, message)
+	from.repair.receive(&r.pending, message)
 	r.mutex.Unlock()
-	if from.repair.wanted == 0 {
+	if from.repair.unrequested == 0 {
 		return
 	}
 	differing := r.config.State.CompareDigest(from.repair.digest)
 	r.mutex.Lock()
-	lacking := from.repair.next(r.config.State.Clock().Now(), &r.questions, differing)
+	requested := from.repair.nextRequest(r.config.State.Clock().Now(), &r.pending, differing)
 	r.mutex.Unlock()
-	if lacking != 0 {
-		from.lacking.Or(uint64(lacking))
-		from.wakeUp()
+	if requested != 0 {
+		from.requested.Or(uint64(requested))
+		from.wakeWriter()
 	}
 }
 
 // shouldAsk tells whether a document is newer than this gateway's, and nobody
 // was asked for it of late.
-func (r *Relay) shouldAsk(version uint64) bool {
+func (r *Relay) shouldRequestDocument(version uint64) bool {
 	if version <= r.config.State.Version() {
 		return false
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.config.State.Clock().Now()
-	if version <= r.askedVersion && now.Sub(r.askedAt) < askAgain {
+	if version <= r.requestedVersion && now.Sub(r.requestedAt) < documentRetryDelay {
 		return false
 	}
-	r.askedVersion = version
-	r.askedAt = now
+	r.requestedVersion = version
+	r.requestedAt = now
 	return true
 }
 
-func (r *Relay) readOne(ctx context.Context, socket *websocket.Conn) (Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, silence)
+func (r *Relay) readMessage(ctx context.Context, socket *websocket.Conn) (Message, error) {
+	ctx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
 	_, raw, err := socket.Read(ctx)
 	if err != nil {
@@ -89,21 +89,21 @@
 	return decode(raw)
 }
 
-func (r *Relay) take(message Message) {
+func (r *Relay) applyMessage(message Message) {
 	now := r.config.State.Clock().Now()
 	r.mutex.Lock()
-	r.book.Heard(now, Peer{ID: message.From, Address: message.Address, StoreAgeMillis: message.StoreAgeMillis, Zone: message.Zone, Capacity: message.Capacity}, message.Peers)
+	r.peers.ObserveMessage(now, Peer{ID: message.From, Address: message.Address, StoreAgeMillis: message.StoreAgeMillis, Zone: message.Zone, Capacity: message.Capacity}, message.Peers)
 	r.mutex.Unlock()
 	r.config.State.ObserveEra(message.Era)
 	if message.Document != nil && message.Version > r.config.State.Version() {
-		r.takeDocument(message)
+		r.applyDocument(message)
 	}
-	if message.Answer != 0 {
-		r.config.State.OfferBuckets(message.Answer, message.Entries)
+	if message.Answered != 0 {
+		r.config.State.OfferBuckets(message.Answered, message.Entries)
 	} else {
 		r.config.State.OfferEntries(message.Entries, gateway.SourcePeer)
 	}
-	if message.Surveyed {
+	if message.KnowsEvacuations {
 		r.config.State.OfferEvacuations(message.Evacuations, gateway.SourcePeer)
 	}
 	if message.KnowsRollouts {
@@ -118,7 +118,7 @@
 	r.config.State.MergeCrashes(message.Crashes)
 }
 
-func (r *Relay) takeDocument(message Message) {
+func (r *Relay) applyDocument(message Message) {
 	var configuration catalog.Configuration
 	if err := cbor.Unmarshal(message.Document, &configuration); err != nil {
 		r.config.Log.Urgent(eventlog.Misconfigured, logrus.Fields{"version": message.Version, "source": message.From, "cause": err.Error()})
--- a/internal/relay/holdings.go
+++ b/internal/relay/holdings.go
@@ -11,17 +11,17 @@
 	// together, at about 12 bytes each: a part of the 16 KB a second that control may
 	// cost. Beyond quickGateways, where more links share the bytes, it falls with their
 	// number; leastHoldings may be told in each message all the same.
-	holdingsPerSecond = 500
-	leastHoldings     = 4
+	holdingsPerSecond     = 500
+	minHoldingsPerMessage = 4
 	// mostHoldings bounds those of one message, which stays shorter than those that are
 	// compressed: a compressor takes a megabyte.
-	mostHoldings = 40
+	maxHoldingsPerMessage = 40
 	// holdingsSaved is the time for which what wasn't told is saved up. News comes in
 	// waves: while caches fill, or homes move, it is ten times the usual, and a gateway
 	// that hears of a holder seconds late has the part read again elsewhere. With 4 s in
 	// place of none, 23 gateways before 42 engines had a quarter of the shared tokens
 	// read again less.
-	holdingsSaved = 4 * time.Second
+	holdingsBurstTime = 4 * time.Second
 )
 
 // holdingsBudget bounds the holdings that are told on one connection. It begins full: who
@@ -31,9 +31,9 @@
 }
 
 // left returns how many holdings may be told now, in a fleet of so many gateways.
-func (b *holdingsBudget) left(now time.Time, gateways int) int {
+func (b *holdingsBudget) available(now time.Time, gateways int) int {
 	perSecond := holdingsPerLink(gateways)
-	limit, burst := rate.Limit(perSecond), max(leastHoldings, int(perSecond*holdingsSaved.Seconds()))
+	limit, burst := rate.Limit(perSecond), max(minHoldingsPerMessage, int(perSecond*holdingsBurstTime.Seconds()))
 	switch {
 	case b.limiter == nil:
 		b.limiter = rate.NewLimiter(limit, burst)
@@ -41,17 +41,17 @@
 		b.limiter.SetLimitAt(now, limit)
 		b.limiter.SetBurstAt(now, burst)
 	}
-	return min(max(leastHoldings, int(b.limiter.TokensAt(now))), mostHoldings)
+	return min(max(minHoldingsPerMessage, int(b.limiter.TokensAt(now))), maxHoldingsPerMessage)
 }
 
 // spend takes holdings that were told off the budget.
-func (b *holdingsBudget) spend(now time.Time, told int) {
-	b.limiter.ReserveN(now, min(told, b.limiter.Burst()))
+func (b *holdingsBudget) spend(now time.Time, count int) {
+	b.limiter.ReserveN(now, min(count, b.limiter.Burst()))
 }
 
 // holdingsPerLink returns how many holdings a second may be told on one connection in a
 // fleet of so many gateways.
 func holdingsPerLink(gateways int) float64 {
-	perSecond := holdingsPerSecond * min(1, quickGateways/float64(gateways))
-	return perSecond / float64(max(1, linksIn(gateways)))
+	perSecond := holdingsPerSecond * min(1, fullRateGateways/float64(gateways))
+	return perSecond / float64(max(1, linkCount(gateways)))
 }
--- a/internal/relay/landed_test.go
+++ b/internal/relay/landed_test.go
@@ -14,12 +14,12 @@
 )
 
 // landedMessages are messages as landed builds wrote them, with every field set.
-const landedMessages = "testdata/landed/message-*.cbor"
+const recordedMessages = "testdata/landed/message-*.cbor"
 
 // Every build reads the messages of the builds that landed before it: gateways of both run side
 // by side while machines are replaced.
-func TestMessagesOfLandedBuildsAreRead(t *testing.T) {
-	files, err := filepath.Glob(landedMessages)
+func TestMessagesOfEarlierBuildsAreDecoded(t *testing.T) {
+	files, err := filepath.Glob(recordedMessages)
 	if err != nil || len(files) == 0 {
 		t.Fatal("no message of a landed build", err)
 	}
@@ -33,7 +33,7 @@
 			is.Equal(message.From, "g1")
 			is.Equal(message.Peers, []Peer{{ID: "g2", Address: "10.0.0.2:2", AgeMillis: 5, StoreAgeMillis: 6, Zone: "z", Capacity: 30}})
 			is.Equal(message.Version, uint64(7))
-			is.True(message.Want && message.Surveyed)
+			is.True(message.WantDocument && message.KnowsEvacuations)
 			is.Equal(len(message.Entries), 2)
 			is.Equal(message.Entries[0].BackEnd, catalog.BackEnd{
 				ID: "b", Service: "s", Address: "10.0.1.1:1", Zone: "z", Slots: 64, Leaving: true, WarmUp: time.Second, Born: 17,
@@ -42,8 +42,8 @@
 			is.Equal(message.Loads, []dispatch.Load{{BackEnd: "b", Requests: 3}})
 			is.Equal(message.Holdings, []dispatch.Holdings{{BackEnd: "b", Born: 17, Parts: []uint64{1, 2}, Tokens: []int{100, 200}}})
 			is.Equal(len(message.Digest), catalog.DigestBuckets)
-			is.Equal(message.Lacking, catalog.Buckets(5))
-			is.Equal(message.Answer, catalog.Buckets(9))
+			is.Equal(message.Requested, catalog.Buckets(5))
+			is.Equal(message.Answered, catalog.Buckets(9))
 			is.Equal(message.Evacuations[0].Zone, "y")
 			is.True(message.Evacuations[1].Withdrawn)
 			is.Equal(message.Crashes[0].Incarnations, []uint32{1, 2, 3})
@@ -60,7 +60,7 @@
 
 // A build before this one finds in a message of ours what it knows, as it wrote it itself, and
 // passes over the rest.
-func TestOlderBuildsFindTheirFieldsInOurMessages(t *testing.T) {
+func TestEarlierBuildsFindTheirFieldsInOurMessages(t *testing.T) {
 	for build, last := range lastFields {
 		t.Run(build, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/relay/link_test.go
+++ b/internal/relay/link_test.go
@@ -10,53 +10,53 @@
 )
 
 // What a peer told isn't told back to it, but what changed since is.
-func TestNewsIsNotToldBack(t *testing.T) {
+func TestEntriesAreNotEchoed(t *testing.T) {
 	is := is.New(t)
 	link := newLink(nil)
 	old := catalog.Entry{BackEnd: catalog.BackEnd{ID: "a"}, Revision: 3}
 	newer := catalog.Entry{BackEnd: catalog.BackEnd{ID: "a", Leaving: true}, Revision: 4}
 	other := catalog.Entry{BackEnd: catalog.BackEnd{ID: "b"}, Revision: 4}
-	link.note([]catalog.Entry{old})
-	is.Equal(link.untold([]catalog.Entry{old, other}), []catalog.Entry{other})
-	link.note([]catalog.Entry{old})
-	is.Equal(link.untold([]catalog.Entry{newer}), []catalog.Entry{newer})
-	is.Equal(link.untold([]catalog.Entry{old}), []catalog.Entry{old}) // noted once
+	link.recordEntries([]catalog.Entry{old})
+	is.Equal(link.withoutReceivedEntries([]catalog.Entry{old, other}), []catalog.Entry{other})
+	link.recordEntries([]catalog.Entry{old})
+	is.Equal(link.withoutReceivedEntries([]catalog.Entry{newer}), []catalog.Entry{newer})
+	is.Equal(link.withoutReceivedEntries([]catalog.Entry{old}), []catalog.Entry{old}) // noted once
 	cold := catalog.Entry{BackEnd: catalog.BackEnd{ID: "c", WarmUp: 3}, Revision: 5}
-	link.note([]catalog.Entry{cold})
+	link.recordEntries([]catalog.Entry{cold})
 	cold.BackEnd.WarmUpAt = catalog.Position{Revision: 5}
-	is.Equal(len(link.untold([]catalog.Entry{cold})), 0)
+	is.Equal(len(link.withoutReceivedEntries([]catalog.Entry{cold})), 0)
 }
 
-func TestHoldingsAreNotToldBack(t *testing.T) {
+func TestHoldingsAreNotEchoed(t *testing.T) {
 	is := is.New(t)
 	link := newLink(nil)
-	link.noteHoldings([]dispatch.Holdings{{BackEnd: "a", Parts: []uint64{1, 2}, Tokens: []int{2000, 3000}}})
-	news := []dispatch.Holdings{
+	link.recordHoldings([]dispatch.Holdings{{BackEnd: "a", Parts: []uint64{1, 2}, Tokens: []int{2000, 3000}}})
+	changed := []dispatch.Holdings{
 		{BackEnd: "a", Parts: []uint64{2, 3}, Tokens: []int{3000, 4000}},
 		{BackEnd: "b", Parts: []uint64{1}, Tokens: []int{2000}},
 	}
-	is.Equal(link.untoldHoldings(news), []dispatch.Holdings{
+	is.Equal(link.withoutReceivedHoldings(changed), []dispatch.Holdings{
 		{BackEnd: "a", Parts: []uint64{3}, Tokens: []int{4000}},
 		{BackEnd: "b", Parts: []uint64{1}, Tokens: []int{2000}},
 	})
-	is.Equal(link.untoldHoldings([]dispatch.Holdings{{BackEnd: "a", Parts: []uint64{1}, Tokens: []int{2000}}}), nil)
-	is.Equal(len(link.untoldHoldings(news)[0].Parts), 2) // told again when it is news again
+	is.Equal(link.withoutReceivedHoldings([]dispatch.Holdings{{BackEnd: "a", Parts: []uint64{1}, Tokens: []int{2000}}}), nil)
+	is.Equal(len(link.withoutReceivedHoldings(changed)[0].Parts), 2) // told again when it is news again
 }
 
 // A message without news may be left out; whatever the receiver would miss is news.
-func TestWhatCountsAsNews(t *testing.T) {
+func TestMessageCarriesUpdate(t *testing.T) {
 	is := is.New(t)
-	before := Message{From: "g", Version: 3, Surveyed: true, StoreAgeMillis: 40}
+	before := Message{From: "g", Version: 3, KnowsEvacuations: true, StoreAgeMillis: 40}
 	same := before
 	same.StoreAgeMillis = 240
-	is.True(!same.tellsNews(before))
+	is.True(!same.carriesUpdate(before))
 	for _, change := range []func(m *Message){
 		func(m *Message) { m.Version = 4 },
-		func(m *Message) { m.Surveyed = false },
-		func(m *Message) { m.Want = true },
+		func(m *Message) { m.KnowsEvacuations = false },
+		func(m *Message) { m.WantDocument = true },
 		func(m *Message) { m.Digest = catalog.Digest{1} },
-		func(m *Message) { m.Lacking = 1 },
-		func(m *Message) { m.Answer = 1 },
+		func(m *Message) { m.Requested = 1 },
+		func(m *Message) { m.Answered = 1 },
 		func(m *Message) { m.Document = []byte{1} },
 		func(m *Message) { m.Entries = []catalog.Entry{{}} },
 		func(m *Message) { m.Evacuations = []catalog.Evacuation{{}} },
@@ -66,6 +66,6 @@
 	} {
 		message := same
 		change(&message)
-		is.True(message.tellsNews(before))
+		is.True(message.carriesUpdate(before))
 	}
 }
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -20,9 +20,9 @@
 	Peers []Peer `cbor:"3,keyasint,omitempty"`
 	// Version is the sender's configuration. A receiver with an older one asks for
 	// the document with Want; so it crosses one link, not every one.
-	Version  uint64          `cbor:"4,keyasint"`
-	Document cbor.RawMessage `cbor:"5,keyasint,omitempty"`
-	Want     bool            `cbor:"9,keyasint,omitempty"`
+	Version      uint64          `cbor:"4,keyasint"`
+	Document     cbor.RawMessage `cbor:"5,keyasint,omitempty"`
+	WantDocument bool            `cbor:"9,keyasint,omitempty"`
 	// Entries are the back ends that changed since the last message.
 	Entries []catalog.Entry `cbor:"6,keyasint,omitempty"`
 	// Loads are the sender's requests under way. In a large fleet they are collected
@@ -39,16 +39,16 @@
 	// Lacking are buckets in which the receiver's digest differs from what the sender
 	// knows: it asks for their entries but those of Sums. Answer are buckets that the
 	// receiver asked for; all that it lacks of them is among Entries.
-	Lacking catalog.Buckets   `cbor:"16,keyasint,omitempty"`
-	Answer  catalog.Buckets   `cbor:"17,keyasint,omitempty"`
-	Sums    catalog.Checksums `cbor:"18,keyasint,omitempty"`
+	Requested catalog.Buckets   `cbor:"16,keyasint,omitempty"`
+	Answered  catalog.Buckets   `cbor:"17,keyasint,omitempty"`
+	Checksums catalog.Checksums `cbor:"18,keyasint,omitempty"`
 	// Zone and Capacity are the sender's; see Peer.
 	Zone     string `cbor:"12,keyasint,omitempty"`
 	Capacity int    `cbor:"13,keyasint,omitempty"`
 	// Evacuations are the orders on zones that changed since the last message. Surveyed
 	// is true when the sender knows all of them: the first message with it tells all.
-	Evacuations []catalog.Evacuation `cbor:"14,keyasint,omitempty"`
-	Surveyed    bool                 `cbor:"15,keyasint,omitempty"`
+	Evacuations      []catalog.Evacuation `cbor:"14,keyasint,omitempty"`
+	KnowsEvacuations bool                 `cbor:"15,keyasint,omitempty"`
 	// Crashes are records of back ends that crashed under requests, as far as it is news.
 	Crashes []dispatch.CrashRecord `cbor:"19,keyasint,omitempty"`
 	// Era is that of the platform's store, as far as the sender knows.
@@ -74,15 +74,15 @@
 	// at once. In a small fleet it bounds the age of loads. It stretches beyond
 	// quickGateways gateways, whose messages carry news alone, to longestPeriod, which
 	// still shows within freshLink that a peer lives.
-	period        = 200 * time.Millisecond
-	quickGateways = 30
-	longestPeriod = time.Second
+	period           = 200 * time.Millisecond
+	fullRateGateways = 30
+	maxPeriod        = time.Second
 	// restPeriod is the time to the next message after one without news, in a fleet whose
 	// loads are collected. It delays the first news of who holds a prompt part after a rest,
 	// and the word on how long ago the store answered the sender, by which others find that
 	// they must read it themselves. At 23 gateways at rest, messages each 200 ms took two
 	// fifths of the processor time (BenchmarkFleetAtRest, profile).
-	restPeriod = 400 * time.Millisecond
+	idlePeriod = 400 * time.Millisecond
 	// maxMessageBytes bounds a message: a configuration and all back ends.
 	maxMessageBytes = 16 << 20
 	// peersPeriod is the least time between two messages with some of the peers.
@@ -91,11 +91,11 @@
 
 // tellsNews tells whether the receiver would learn more than that the sender lives, after
 // the message before.
-func (m *Message) tellsNews(before Message) bool {
-	changed := m.Version != before.Version || m.Surveyed != before.Surveyed || m.Era != before.Era || m.KnowsRollouts != before.KnowsRollouts
+func (m *Message) carriesUpdate(previous Message) bool {
+	changed := m.Version != previous.Version || m.KnowsEvacuations != previous.KnowsEvacuations || m.Era != previous.Era || m.KnowsRollouts != previous.KnowsRollouts
 	lists := len(m.Digest) + len(m.Document) + len(m.Entries) + len(m.Evacuations) + len(m.Holdings) + len(m.Loads) + len(m.Peers) + len(m.Crashes) + len(m.Rollouts) + len(m.Marks) + len(m.Displaced) + len(m.Leaving)
-	asks := m.Want || m.Lacking != 0
-	return changed || asks || m.Answer != 0 || lists > 0
+	requests := m.WantDocument || m.Requested != 0
+	return changed || requests || m.Answered != 0 || lists > 0
 }
 
 // decode parses a peer's message.
@@ -107,47 +107,47 @@
 
 // periodFor returns the time between two messages in a fleet of so many gateways.
 func periodFor(gateways int) time.Duration {
-	stretched := period * time.Duration(gateways) / quickGateways
-	return max(period, min(stretched, longestPeriod))
+	stretched := period * time.Duration(gateways) / fullRateGateways
+	return max(period, min(stretched, maxPeriod))
 }
 
-func (r *Relay) message(news gateway.Update, peersAt time.Time) Message {
+func (r *Relay) buildMessage(update gateway.Update, peersSentAt time.Time) Message {
 	message := Message{
 		From:    r.config.ID,
 		Address: r.config.Address,
-		Version: news.Version,
-		Digest:  news.Digest,
-		Entries: news.Entries,
+		Version: update.Version,
+		Digest:  update.Digest,
+		Entries: update.Entries,
 		Zone:    r.config.Zone, Capacity: r.config.Capacity,
 
-		Evacuations: news.Evacuations, Surveyed: news.KnowsEvacuations,
+		Evacuations: update.Evacuations, KnowsEvacuations: update.KnowsEvacuations,
 
-		Holdings:       news.Holdings,
-		Crashes:        news.Crashes,
-		Era:            news.Era,
-		Rollouts:       news.Rollouts,
-		KnowsRollouts:  news.KnowsRollouts,
-		Marks:          news.Marks,
-		Displaced:      news.Displaced,
-		Leaving:        news.Leaving,
-		StoreAgeMillis: min(news.StoreAge, forgetAge).Milliseconds(),
+		Holdings:       update.Holdings,
+		Crashes:        update.Crashes,
+		Era:            update.Era,
+		Rollouts:       update.Rollouts,
+		KnowsRollouts:  update.KnowsRollouts,
+		Marks:          update.Marks,
+		Displaced:      update.Displaced,
+		Leaving:        update.Leaving,
+		StoreAgeMillis: min(update.StoreAge, forgetTimeout).Milliseconds(),
 	}
 	gateways := r.config.State.Place().Gateways
 	if !IsLarge(gateways) {
-		message.Loads = news.Loads
-		message.Tallies = news.Tallies
+		message.Loads = update.Loads
+		message.Tallies = update.Tallies
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	message.Peers = toldPeers(r.book, r.config.State.Clock().Now(), peersAt, gateways)
+	message.Peers = peersToSend(r.peers, r.config.State.Clock().Now(), peersSentAt, gateways)
 	return message
 }
 
 // toldPeers returns the peers for a message on a connection on which some were last told
 // at the time peersAt.
-func toldPeers(book *Book, now, peersAt time.Time, gateways int) []Peer {
-	if now.Sub(peersAt) < peersPeriod-periodFor(gateways)/2 { // timers fire early and late
+func peersToSend(table *PeerTable, now, peersSentAt time.Time, gateways int) []Peer {
+	if now.Sub(peersSentAt) < peersPeriod-periodFor(gateways)/2 { // timers fire early and late
 		return nil
 	}
-	return book.Known(now)
+	return table.PeersForMessage(now)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -47,14 +47,14 @@
 
 	mutex  sync.Mutex
 	closed bool
-	book   *Book
+	peers  *PeerTable
 	// askedVersion is the document last asked for, and askedAt when.
-	askedVersion uint64
-	askedAt      time.Time
+	requestedVersion uint64
+	requestedAt      time.Time
 	// opened ends the connections that this gateway opened, by peer.
 	opened map[string]openedLink
 	// questions are those to peers for back ends.
-	questions questions
+	pending pendingRequests
 }
 
 // Start begins to connect.
@@ -65,10 +65,10 @@
 		client: &http.Client{Transport: &http.Transport{DialContext: config.Dial, DisableKeepAlives: true}},
 		ctx:    ctx,
 		cancel: cancel,
-		book:   NewBook(config.ID, config.Address, config.Seeds),
+		peers:  NewPeerTable(config.ID, config.Address, config.Seeds),
 		opened: map[string]openedLink{},
 	}
-	r.spawn(r.connect)
+	r.spawn(r.maintainLinks)
 	return r
 }
 
@@ -86,14 +86,14 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	self := Peer{ID: r.config.ID, Address: r.config.Address, Zone: r.config.Zone, Capacity: r.config.Capacity}
-	return append(r.book.LivePeers(r.config.State.Clock().Now()), self)
+	return append(r.peers.LivePeers(r.config.State.Clock().Now()), self)
 }
 
 // SetSeeds replaces the seeds.
 func (r *Relay) SetSeeds(seeds []string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.book.SetSeeds(seeds)
+	r.peers.SetSeeds(seeds)
 }
 
 func (r *Relay) spawn(task func()) {
--- a/internal/relay/repair_test.go
+++ b/internal/relay/repair_test.go
@@ -23,51 +23,51 @@
 
 // One peer at a time is asked for a bucket, a part of the list with each question, and the
 // next part when the answer is there.
-func TestOnePeerIsAskedForABucket(t *testing.T) {
+func TestBucketIsRequestedFromOnePeerAtATime(t *testing.T) {
 	is := is.New(t)
-	var all questions
+	var pending pendingRequests
 	var first, second repair
 	digest := digestOf("b1")
-	first.hear(&all, Message{Digest: digest})
-	second.hear(&all, Message{Digest: digest})
-	asked := first.next(start, &all, catalog.AllBuckets)
-	is.Equal(bits.OnesCount64(uint64(asked)), mostAsked)
-	is.Equal(first.next(start, &all, catalog.AllBuckets), catalog.Buckets(0)) // its answer isn't there
-	other := second.next(start, &all, catalog.AllBuckets)
-	is.Equal(bits.OnesCount64(uint64(other)), mostAsked)
-	is.Equal(asked&other, catalog.Buckets(0))
-	first.hear(&all, Message{Answer: asked})
-	next := first.next(start, &all, catalog.AllBuckets)
-	is.Equal(bits.OnesCount64(uint64(next)), mostAsked)
-	is.Equal(next&(asked|other), catalog.Buckets(0))
+	first.receive(&pending, Message{Digest: digest})
+	second.receive(&pending, Message{Digest: digest})
+	requested := first.nextRequest(start, &pending, catalog.AllBuckets)
+	is.Equal(bits.OnesCount64(uint64(requested)), maxRequestedBuckets)
+	is.Equal(first.nextRequest(start, &pending, catalog.AllBuckets), catalog.Buckets(0)) // its answer isn't there
+	other := second.nextRequest(start, &pending, catalog.AllBuckets)
+	is.Equal(bits.OnesCount64(uint64(other)), maxRequestedBuckets)
+	is.Equal(requested&other, catalog.Buckets(0))
+	first.receive(&pending, Message{Answered: requested})
+	next := first.nextRequest(start, &pending, catalog.AllBuckets)
+	is.Equal(bits.OnesCount64(uint64(next)), maxRequestedBuckets)
+	is.Equal(next&(requested|other), catalog.Buckets(0))
 }
 
-func TestAnotherPeerIsAskedForWhatIsNotAnswered(t *testing.T) {
+func TestUnansweredBucketIsRequestedFromAnotherPeer(t *testing.T) {
 	is := is.New(t)
-	var all questions
+	var pending pendingRequests
 	var first, second repair
-	first.hear(&all, Message{Digest: digestOf("b1")})
-	second.hear(&all, Message{Digest: digestOf("b1")})
-	const lacking = catalog.Buckets(1)
-	is.Equal(first.next(start, &all, lacking), lacking)
-	is.Equal(second.next(start, &all, lacking), catalog.Buckets(0))
-	is.Equal(second.next(start.Add(answerTime), &all, lacking), lacking)
-	is.Equal(first.next(start.Add(3*answerTime), &all, lacking), catalog.Buckets(0)) // once for each digest
+	first.receive(&pending, Message{Digest: digestOf("b1")})
+	second.receive(&pending, Message{Digest: digestOf("b1")})
+	const missing = catalog.Buckets(1)
+	is.Equal(first.nextRequest(start, &pending, missing), missing)
+	is.Equal(second.nextRequest(start, &pending, missing), catalog.Buckets(0))
+	is.Equal(second.nextRequest(start.Add(answerTimeout), &pending, missing), missing)
+	is.Equal(first.nextRequest(start.Add(3*answerTimeout), &pending, missing), catalog.Buckets(0)) // once for each digest
 }
 
-func TestPeerThatKnowsTheSameIsNotAsked(t *testing.T) {
+func TestNothingIsRequestedWithoutADifference(t *testing.T) {
 	is := is.New(t)
-	var all questions
+	var pending pendingRequests
 	var peer repair
-	is.Equal(peer.next(start, &all, catalog.AllBuckets), catalog.Buckets(0)) // it told no digest
-	peer.hear(&all, Message{Digest: digestOf("b1")})
-	is.Equal(peer.next(start, &all, 0), catalog.Buckets(0))
-	is.Equal(peer.next(start, &all, catalog.AllBuckets), catalog.Buckets(0)) // settled for that digest
+	is.Equal(peer.nextRequest(start, &pending, catalog.AllBuckets), catalog.Buckets(0)) // it told no digest
+	peer.receive(&pending, Message{Digest: digestOf("b1")})
+	is.Equal(peer.nextRequest(start, &pending, 0), catalog.Buckets(0))
+	is.Equal(peer.nextRequest(start, &pending, catalog.AllBuckets), catalog.Buckets(0)) // settled for that digest
 }
 
 // Whatever parts of a list gateways know that are connected in a chain, and whichever of
 // them is heard first, all end with the whole list.
-func TestAllEndWithTheWholeList(t *testing.T) {
+func TestRepairConvergesAlongAChain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const gateways, backEnds = 5, 200
 		views := make([]*catalog.View, gateways)
@@ -77,8 +77,8 @@
 		}
 		for range gateways { // as many steps as the chain is long
 			for i := range gateways - 1 {
-				exchange(views[i], views[i+1])
-				exchange(views[i+1], views[i])
+				repairFrom(views[i], views[i+1])
+				repairFrom(views[i+1], views[i])
 			}
 		}
 		for _, view := range views[1:] {
@@ -98,19 +98,19 @@
 }
 
 // exchange lets a gateway ask the teller until nothing is left to ask.
-func exchange(asker, teller *catalog.View) {
-	var all questions
+func repairFrom(requester, responder *catalog.View) {
+	var pending pendingRequests
 	var peer repair
 	now := start
-	message := Message{Digest: teller.Digest()}
+	message := Message{Digest: responder.Digest()}
 	for {
-		peer.hear(&all, message)
+		peer.receive(&pending, message)
 		now = now.Add(time.Millisecond)
-		asked := peer.next(now, &all, asker.Digest().Differing(peer.digest))
-		if asked == 0 {
+		requested := peer.nextRequest(now, &pending, requester.Digest().Differing(peer.digest))
+		if requested == 0 {
 			return
 		}
-		message = Message{Answer: asked, Entries: teller.MissingEntries(asked, asker.ChecksumsOf(asked))}
-		asker.OfferEntries(message.Entries)
+		message = Message{Answered: requested, Entries: responder.MissingEntries(requested, requester.ChecksumsOf(requested))}
+		requester.OfferEntries(message.Entries)
 	}
 }
--- a/internal/relay/tell.go
+++ b/internal/relay/tell.go
@@ -16,43 +16,43 @@
 	// longestGather bounds the wait for further changes before one is told. News
 	// crosses a fleet of 340 in some five steps, so that is a quarter of a second on
 	// top of the way itself.
-	longestGather = 100 * time.Millisecond
+	maxBatchDelay = 100 * time.Millisecond
 	// digestPeriod is the least time between two digests on a connection of a large
 	// fleet: while thousands of back ends register, each of up to 74 connections would
 	// carry ten digests of 320 bytes a second.
-	digestPeriod = 250 * time.Millisecond
+	minDigestInterval = 250 * time.Millisecond
 )
 
 // conversation is what the peer of one connection was told.
-type conversation struct {
-	told gateway.Cursors
+type sendState struct {
+	cursors gateway.Cursors
 	// peersAt is when it was last told of other peers, and digestAt when a digest;
 	// digestWaits is set while another one waits for its time.
-	peersAt     time.Time
-	digestAt    time.Time
-	digestWaits bool
+	peersSentAt    time.Time
+	digestSentAt   time.Time
+	digestDeferred bool
 	// holdings bounds the holdings that it is told.
 	holdings holdingsBudget
 	// last is the last message.
-	last Message
+	lastMessage Message
 }
 
 // write tells the peer what it lacks, at once after a change and every period.
-func (r *Relay) write(ctx context.Context, to *link) {
+func (r *Relay) writeLoop(ctx context.Context, to *link) {
 	timer := time.NewTimer(period)
 	defer timer.Stop()
-	var talk conversation
+	var state sendState
 	for {
-		message, changed := r.nextMessage(to, &talk)
-		if err := r.writeOne(ctx, to.socket, message); err != nil {
+		message, changed := r.nextMessage(to, &state)
+		if err := r.writeMessage(ctx, to.socket, message); err != nil {
 			return
 		}
-		timer.Reset(r.pauseAfter(message, &talk))
-		talk.last = message
+		timer.Reset(r.delayAfter(message, &state))
+		state.lastMessage = message
 		select {
 		case <-to.wake:
 		case <-changed:
-			r.gather(ctx)
+			r.batchChanges(ctx)
 		case <-timer.C:
 		case <-ctx.Done():
 			return
@@ -61,78 +61,78 @@
 }
 
 // nextMessage returns what the peer lacks now, and what tells of the next change.
-func (r *Relay) nextMessage(to *link, talk *conversation) (message Message, changed <-chan struct{}) {
+func (r *Relay) nextMessage(to *link, state *sendState) (message Message, changed <-chan struct{}) {
 	gateways := r.config.State.Place().Gateways
 	now := r.config.State.Clock().Now()
-	news := r.config.State.UpdateSince(talk.told, talk.holdings.left(now, gateways))
-	talk.holdings.spend(now, int(news.HoldingsCursor-talk.told.Holdings))
-	r.holdDigest(&news, talk)
-	news.Entries = to.untold(news.Entries)
-	news.Holdings = to.untoldHoldings(news.Holdings)
-	message = r.message(news, talk.peersAt)
+	update := r.config.State.UpdateSince(state.cursors, state.holdings.available(now, gateways))
+	state.holdings.spend(now, int(update.HoldingsCursor-state.cursors.Holdings))
+	r.deferDigest(&update, state)
+	update.Entries = to.withoutReceivedEntries(update.Entries)
+	update.Holdings = to.withoutReceivedHoldings(update.Holdings)
+	message = r.buildMessage(update, state.peersSentAt)
 	if message.Peers != nil {
-		talk.peersAt = r.config.State.Clock().Now()
+		state.peersSentAt = r.config.State.Clock().Now()
 	}
-	message.Want = to.ask.Swap(false)
-	if to.give.Swap(false) {
+	message.WantDocument = to.requestDocument.Swap(false)
+	if to.sendDocument.Swap(false) {
 		message.Document = r.config.State.Document()
 	}
-	if message.Lacking = catalog.Buckets(to.lacking.Swap(0)); message.Lacking != 0 {
-		message.Sums = r.config.State.ChecksumsOf(message.Lacking)
+	if message.Requested = catalog.Buckets(to.requested.Swap(0)); message.Requested != 0 {
+		message.Checksums = r.config.State.ChecksumsOf(message.Requested)
 	}
-	r.answer(&message, to.takeAsked())
-	talk.told = gateway.Cursors{Digest: news.DigestCursor, Entries: news.EntriesCursor, Evacuations: news.EvacuationsCursor, Holdings: news.HoldingsCursor, Crashes: news.CrashesCursor, Rollouts: news.RolloutsCursor, Displaced: news.DisplacedCursor, Leaving: news.LeavingCursor}
-	return message, news.Changed
+	r.addAnswer(&message, to.takePeerRequest())
+	state.cursors = gateway.Cursors{Digest: update.DigestCursor, Entries: update.EntriesCursor, Evacuations: update.EvacuationsCursor, Holdings: update.HoldingsCursor, Crashes: update.CrashesCursor, Rollouts: update.RolloutsCursor, Displaced: update.DisplacedCursor, Leaving: update.LeavingCursor}
+	return message, update.Changed
 }
 
 // holdDigest takes a digest out of the news that follows too soon on the one before.
-func (r *Relay) holdDigest(news *gateway.Update, talk *conversation) {
-	talk.digestWaits = false
-	if news.Digest == nil {
+func (r *Relay) deferDigest(update *gateway.Update, state *sendState) {
+	state.digestDeferred = false
+	if update.Digest == nil {
 		return
 	}
 	gateways := r.config.State.Place().Gateways
-	if IsLarge(gateways) && r.config.State.Clock().Since(talk.digestAt) < digestPeriod {
-		news.Digest, news.DigestCursor = nil, talk.told.Digest
-		talk.digestWaits = true
+	if IsLarge(gateways) && r.config.State.Clock().Since(state.digestSentAt) < minDigestInterval {
+		update.Digest, update.DigestCursor = nil, state.cursors.Digest
+		state.digestDeferred = true
 		return
 	}
-	talk.digestAt = r.config.State.Clock().Now()
+	state.digestSentAt = r.config.State.Clock().Now()
 }
 
 // pauseAfter returns the longest time from one message to the next.
-func (r *Relay) pauseAfter(message Message, talk *conversation) time.Duration {
+func (r *Relay) delayAfter(message Message, state *sendState) time.Duration {
 	gateways := r.config.State.Place().Gateways
-	wait := periodFor(gateways)
-	if talk.digestWaits {
-		return min(wait, digestPeriod)
+	delay := periodFor(gateways)
+	if state.digestDeferred {
+		return min(delay, minDigestInterval)
 	}
-	if IsLarge(gateways) && !message.tellsNews(talk.last) {
-		return max(wait, restPeriod)
+	if IsLarge(gateways) && !message.carriesUpdate(state.lastMessage) {
+		return max(delay, idlePeriod)
 	}
-	return wait
+	return delay
 }
 
 // answer adds what the peer lacks of the buckets that it asked for, if this gateway has a
 // list.
-func (r *Relay) answer(message *Message, asked peerQuestion) {
-	if asked.buckets == 0 {
+func (r *Relay) addAnswer(message *Message, request bucketRequest) {
+	if request.buckets == 0 {
 		return
 	}
-	entries, listed := r.config.State.MissingEntries(asked.buckets, asked.known)
+	entries, listed := r.config.State.MissingEntries(request.buckets, request.known)
 	if listed {
-		message.Answer = asked.buckets
+		message.Answered = request.buckets
 		message.Entries = append(message.Entries, entries...)
 	}
 }
 
 // gather waits for more changes to tell with the one at hand, and for the peer to tell
 // it itself. In a small fleet a change is told at once.
-func (r *Relay) gather(ctx context.Context) {
+func (r *Relay) batchChanges(ctx context.Context) {
 	if gateways := r.config.State.Place().Gateways; !IsLarge(gateways) {
 		return
 	}
-	timer := time.NewTimer(rand.N(longestGather))
+	timer := time.NewTimer(rand.N(maxBatchDelay))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -140,7 +140,7 @@
 	}
 }
 
-func (r *Relay) writeOne(ctx context.Context, socket *websocket.Conn, message Message) error {
+func (r *Relay) writeMessage(ctx context.Context, socket *websocket.Conn, message Message) error {
 	raw, err := cbor.Marshal(message)
 	if err != nil {
 		return err
