--- a/internal/collect/sums.go
+++ b/internal/collect/aggregator.go
@@ -7,45 +7,45 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// freshSource is the age to which counts that were told once are added up: several of
-// their periods, so that a lost word takes nothing off, and a gateway that is gone
-// counts no longer than what it had sent takes to run.
+// sourceTimeout is the age up to which reported counts are included in the totals. It spans several
+// reporting periods, so that a lost message doesn't lower the totals, and a gateway that is gone
+// counts no longer than the requests that it sent take to run.
 const sourceTimeout = 1200 * time.Millisecond
 
-// Sums adds up the counts that a collector was told: those of its members, and the sums
-// of the other groups. It is not safe for concurrent use.
+// Aggregator sums up the counts that a collector received: those of its members, and the totals of
+// the other groups. It is not safe for concurrent use.
 type Aggregator struct {
 	members sumTables
 	groups  sumTables
 }
 
-// NewSums returns sums that know nothing.
+// NewAggregator returns an empty Aggregator.
 func NewAggregator() *Aggregator { return &Aggregator{members: newSumTables(), groups: newSumTables()} }
 
-// TakeMember takes a gateway's own counts and tallies, which replace those that it told before.
+// SetMember sets a gateway's own counts and tallies, which replace those that it reported before.
 func (a *Aggregator) SetMember(now time.Time, id string, counts []dispatch.Count, tallies []rollout.Tally) {
 	a.members.set(now, id, dispatch.Totals{Counts: counts, Tallies: tallies, Counted: 1})
 }
 
-// TakeGroup takes the sums over another group.
+// SetGroup sets the totals of another group.
 func (a *Aggregator) SetGroup(now time.Time, group string, totals dispatch.Totals) {
 	a.groups.set(now, group, totals)
 }
 
-// Collecting tells whether a gateway told its counts of late.
+// HasMembers reports whether any gateway has reported its counts recently.
 func (a *Aggregator) HasMembers(now time.Time) bool {
 	a.members.expire(now)
 	return a.members.counted() > 0
 }
 
-// Group returns the sums over the members alone.
+// GroupTotals returns the totals of the members only.
 func (a *Aggregator) GroupTotals(now time.Time) dispatch.Totals {
 	a.members.expire(now)
 	return a.members.totals()
 }
 
-// Totals returns the sums over all that is known. Those of the others that should be
-// known and aren't count as expected.
+// Totals returns the totals of all members and groups. The gateways of the other groups of which no
+// recent totals are known count as expected but not as counted.
 func (a *Aggregator) Totals(now time.Time, others []Group) dispatch.Totals {
 	a.members.expire(now)
 	a.groups.expire(now)
@@ -62,7 +62,7 @@
 	return totals
 }
 
-// ledgers add up the counts and the tallies of the same sources.
+// sumTables sums up the counts and the tallies of the same sources.
 type sumTables struct {
 	counts  sumTable[uint32, dispatch.Count]
 	tallies sumTable[rollout.Key, rollout.Tally]
@@ -82,7 +82,7 @@
 	t.tallies.expire(now)
 }
 
-// counted returns the number of gateways in the sums.
+// counted returns the number of gateways that are included in the totals.
 func (t *sumTables) counted() int { return t.counts.counted() }
 
 func (t *sumTables) has(id string) bool {
@@ -90,13 +90,13 @@
 	return known
 }
 
-// totals returns the sums, of which all that are expected are counted.
+// totals returns the sums. All gateways that are counted are also expected.
 func (t *sumTables) totals() dispatch.Totals {
 	counted := t.counted()
 	return dispatch.Totals{Counts: t.counts.totals(), Tallies: t.tallies.totals(), Counted: counted, Expected: counted}
 }
 
-// summable is what a ledger adds up by a key.
+// summable is what a sumTable sums up by key.
 type summable[K comparable, C any] interface {
 	SumKey() K
 	Plus(other C) C
@@ -104,7 +104,8 @@
 	IsZero() bool
 }
 
-// addUp returns the sums of two lists, of which each holds a key once. It extends the first.
+// addSums returns the sums of two lists, each of which holds a key at most once. It modifies and
+// extends the first list.
 func addSums[K comparable, C summable[K, C]](list, more []C) []C {
 	index := make(map[K]int, len(list))
 	for i, each := range list {
@@ -120,12 +121,14 @@
 	return list
 }
 
-// ledger adds up what sources tell, each of which may replace its own.
+// sumTable holds the values of each source and their sums. New values of a source replace its
+// previous ones.
 type sumTable[K comparable, C summable[K, C]] struct {
 	sources map[string]source[C]
 	sums    map[K]C
 }
 
+// source holds the last values of a source, and the number of gateways that they cover.
 type source[C any] struct {
 	receivedAt time.Time
 	values     []C
@@ -147,7 +150,7 @@
 	t.sources[id] = source[C]{receivedAt: now, values: values, gateways: gateways}
 }
 
-// remove takes off what the source had added.
+// remove subtracts the values of the source from the sums.
 func (t *sumTable[K, C]) remove(id string) {
 	for _, each := range t.sources[id].values {
 		rest := t.sums[each.SumKey()].Minus(each)
@@ -177,7 +180,7 @@
 	return totals
 }
 
-// counted returns the number of gateways in the sums.
+// counted returns the number of gateways that are included in the sums.
 func (t *sumTable[K, C]) counted() int {
 	counted := 0
 	for _, each := range t.sources {
--- a/internal/collect/sums_test.go
+++ b/internal/collect/aggregator_test.go
@@ -12,8 +12,8 @@
 	_ "github.com/harriernotch/harriernotch/internal/fixedseed"
 )
 
-// Whatever words come, doubled or replaced, the sums are those of each source's last one
-// that is still fresh.
+// With any sequence of reports, also repeated or replaced ones, the totals are the sums of the
+// latest report of each source that hasn't timed out.
 func TestTotalsUseTheLatestReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		aggregator := NewAggregator()
@@ -68,14 +68,15 @@
 	is.Equal(aggregator.GroupTotals(start).Counted, 1)
 }
 
-// All gateways agree on the collectors; each is in one group; the largest collect.
+// All gateways agree on the collectors, which are the gateways with the largest capacity. Each
+// gateway is in exactly one group.
 func TestGatewaysAgreeOnThePlan(t *testing.T) {
 	for _, gateways := range []int{1, 11, 33, 103, 340} {
 		is := is.New(t)
 		var live []Gateway
 		for i := range gateways {
 			each := Gateway{ID: fmt.Sprint("g", i), Zone: fmt.Sprint("z", i%3), Capacity: 14}
-			if i%12 < 3 { // so many in each zone
+			if i%12 < 3 { // a quarter of each zone
 				each.Capacity = 80
 			}
 			live = append(live, each)
@@ -140,8 +141,8 @@
 	})
 }
 
-// What collecting costs at the aimed size, in front of 660 back ends: the answers to a
-// member, and what a collector of a full group sends.
+// The traffic of collecting at the target size, in front of 660 back ends: the answers to a member,
+// and what the collector of a full group sends.
 func TestTrafficAtTargetFleetSize(t *testing.T) {
 	is := is.New(t)
 	const backEnds, gateways = 660, 340
@@ -155,6 +156,6 @@
 	groups := (gateways + maxGroupSize - 1) / maxGroupSize
 	member := float64(len(raw)) * perSecond
 	collector := member * float64(maxGroupSize+groups-1)
-	t.Logf("%d bytes an answer, %.1f KB/s to a member, %.0f KB/s from a collector", len(raw), member/1000, collector/1000)
+	t.Logf("%d bytes per answer, %.1f KB/s to a member, %.0f KB/s from a collector", len(raw), member/1000, collector/1000)
 	is.True(member < 14_500)
 }
--- a/internal/collect/landed_test.go
+++ b/internal/collect/compatibility_test.go
@@ -11,10 +11,10 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// countsOfLandedBuilds are those in the recorded messages.
+// recordedCounts are the counts in the recorded messages.
 var recordedCounts = []dispatch.Count{{Key: 7, Requests: 3, Demand: 40}, {Key: 9, Requests: 1, Demand: 2, Ended: 5, ResidenceMillis: 600}}
 
-// Every build reads the questions and answers of the builds that landed before it.
+// Every build decodes the queries and answers of earlier builds.
 func TestMessagesOfEarlierBuildsAreDecoded(t *testing.T) {
 	is := is.New(t)
 	raw, err := os.ReadFile("testdata/landed/question-018ec82.cbor")
@@ -33,7 +33,7 @@
 	is.Equal(totals, dispatch.Totals{Counts: recordedCounts, Counted: 12, Expected: 14})
 }
 
-// A build before this one finds in ours what it knows.
+// An earlier build finds the fields that it knows in the messages of this build.
 func TestEarlierBuildsFindTheirFieldsInOurMessages(t *testing.T) {
 	is := is.New(t)
 	fields := func(raw []byte) map[int]cbor.RawMessage {
--- a/internal/collect/withheld_test.go
+++ b/internal/collect/evacuation_test.go
@@ -8,12 +8,12 @@
 	"github.com/matryer/is"
 )
 
-// An operator's order withholds a zone of four: the others keep the bound, which counts
-// the mean over all. Where half of a pool is withheld they can't, since loads that come
-// and go at random exceed twice the mean by themselves.
+// While an operator's order evacuates one zone of four, the other back ends keep the load bound,
+// which is relative to the mean over all. If half of a pool were evacuated they couldn't, since
+// random variation alone makes loads exceed twice the mean.
 func TestLoadBoundIsKeptWhileZonesAreEvacuated(t *testing.T) {
 	for _, evacuated := range []int{0, 11} {
-		t.Run(fmt.Sprint(evacuated, " of 42 back ends"), func(t *testing.T) {
+		t.Run(fmt.Sprint(evacuated, " of 42 back ends evacuated"), func(t *testing.T) {
 			is := is.New(t)
 			s := newSimulation(23, 42, 64)
 			s.runTime = func(_, _ string) time.Duration { return 350 * time.Millisecond }
@@ -32,8 +32,8 @@
 			for range window / timeStep {
 				s.step(perSecond, 0)
 			}
-			t.Logf("%d of %d over the bound, %d refused, %d copies of %d parts", s.overBound, s.sent, s.refused, s.extraPrefills, len(s.prefilledAt))
-			is.True(float64(s.overBound) <= 0.03*float64(s.sent)) // as many are allowed
+			t.Logf("%d of %d over the bound, %d refused, %d extra prefills of %d parts", s.overBound, s.sent, s.refused, s.extraPrefills, len(s.prefilledAt))
+			is.True(float64(s.overBound) <= 0.03*float64(s.sent)) // up to 3% are allowed
 		})
 	}
 }
--- a/internal/collect/link.go
+++ b/internal/collect/link.go
@@ -12,14 +12,14 @@
 	"github.com/harriernotch/harriernotch/internal/hop"
 )
 
-// link is a connection to another gateway. Its lock is held from a question to its answer.
+// link is a connection to another gateway. Its lock is held from a query to its answer.
 type link struct {
 	mutex  sync.Mutex
 	socket *websocket.Conn
 }
 
-// ask sends a question on the connection to the gateway, which it opens when there is
-// none.
+// query sends the request to the collector and returns the totals in its answer. It opens a
+// connection if there is none.
 func (s *Service) query(collector Gateway, request queryMessage) (dispatch.Totals, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, answerTimeout)
 	defer cancel()
@@ -29,8 +29,8 @@
 			return totals, nil
 		}
 		s.dropLink(collector.ID, existing)
-		// The other side may have closed a connection that had rested, or restarted: a
-		// new one is tried in the time that is left.
+		// The other side may have closed an idle connection, or restarted. Try a new connection in
+		// the remaining time.
 	}
 	opened, err := s.openLink(ctx, collector)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return decodeAnswer(raw)
 }
 
-// known returns the connection to the gateway, or nil.
+// linkTo returns the connection to the gateway, or nil.
 func (s *Service) linkTo(id string) *link {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/collect/message.go
+++ b/internal/collect/message.go
@@ -10,21 +10,21 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// question is what a gateway tells a collector. The answer holds the sums over the whole
-// fleet for a member, which tells its counts, and those over the group for another
-// collector.
+// queryMessage is what a gateway sends to a collector. A member reports its counts, and the answer
+// contains the totals of the whole fleet. For another collector it contains the totals of the
+// group.
 type queryMessage struct {
-	// From is the gateway that asks.
+	// From is the ID of the sender.
 	From string `cbor:"1,keyasint"`
-	// Counts are a member's own; a collector that asks for the group has none.
+	// Counts are a member's own counts; another collector sends none.
 	Counts packedCounts `cbor:"2,keyasint,omitempty"`
 	// Group is set by another collector.
 	Group bool `cbor:"3,keyasint,omitempty"`
-	// Tallies are a member's own of moves to other versions.
+	// Tallies are a member's own tallies of rollouts.
 	Tallies []rollout.Tally `cbor:"4,keyasint,omitempty"`
 }
 
-// answer is what a collector returns.
+// answerMessage is a collector's answer.
 type answerMessage struct {
 	Counts packedCounts `cbor:"1,keyasint"`
 	// Counted and Expected are those of dispatch.Totals.
@@ -34,9 +34,10 @@
 	Tallies []rollout.Tally `cbor:"4,keyasint,omitempty"`
 }
 
-// packed holds counts in as few bytes as a large fleet needs: for each back end three
-// bytes of the key, then twice the requests and wanted as varints, one byte each as a
-// rule. Where the first is told with one more, what ended and what it took follow.
+// packedCounts encodes counts compactly for a large fleet: for each back end three bytes of the
+// key, then twice the number of requests, and the demand, as varints that are usually one byte
+// each. If Ended isn't 0, one is added to the first varint, and Ended and ResidenceMillis follow as
+// varints.
 type packedCounts []byte
 
 const keyBytes = dispatch.CountKeyBits / 8
@@ -59,14 +60,14 @@
 	return bytes
 }
 
-// mostPacked bounds the counts of one message, and mostCount one count: far above any
-// fleet's, so that a damaged message can't take the memory.
+// maxPackedCounts limits the counts of one message, and maxCount each count. Both are far above
+// those of any fleet, and keep a damaged message from exhausting the memory.
 const (
 	maxPackedCounts = 100_000
 	maxCount        = 1 << 24
 )
 
-var errMalformedCounts = errors.New("the counts can't be read")
+var errMalformedCounts = errors.New("malformed packed counts")
 
 func (p packedCounts) unpack() ([]dispatch.Count, error) {
 	if len(p) > maxPackedCounts*(keyBytes+2) {
@@ -91,7 +92,7 @@
 	return counts, nil
 }
 
-// reader takes packed counts apart. After a failure it returns zeros.
+// unpacker decodes packed counts. After a failure it returns zeros.
 type unpacker struct {
 	bytes  []byte
 	failed bool
--- a/internal/collect/plan.go
+++ b/internal/collect/plan.go
@@ -1,12 +1,11 @@
-// Package collect lets every gateway of a large fleet know the loads of all of them,
-// within a bounded time and for bytes that don't grow with the fleet's pairs.
+// Package collect gives every gateway of a large fleet the summed loads of all of them, within a
+// bounded time and without traffic that grows with the number of pairs of gateways.
 //
-// Each gateway tells its own counts to the collector of its group, a part of its zone,
-// and gets back the sums over the whole fleet; collectors ask each other for their
-// groups' sums. Nobody is elected: who collects is a function of the list of live
-// gateways (Plan), and where two gateways' lists differ, each collector serves whoever
-// comes. Sums is the state machine of a collector; Service is the shell, over WebSocket
-// with CBOR.
+// Each gateway reports its own counts to the collector of its group, a part of its zone, and gets
+// back the totals of the whole fleet. Collectors query each other for the totals of their groups.
+// There is no election: which gateway collects is a function of the list of live gateways (Plan),
+// and where the lists of two gateways differ, each collector serves every gateway that queries it.
+// Aggregator is the state machine of a collector. Service runs it, over WebSocket with CBOR.
 package collect
 
 import (
@@ -20,34 +19,34 @@
 // Gateway is a live gateway.
 type Gateway struct {
 	ID string
-	// Address is its listener for peers.
+	// Address is the address of its listener for peers.
 	Address string
 	Zone    string
 	// Capacity is its share of a processor, in hundredths of a core.
 	Capacity int
 }
 
-// groupSize is the largest number of gateways that tell one collector. Larger groups
-// cost a collector more, smaller ones make more collectors that ask each other.
+// maxGroupSize is the maximum number of gateways that report to one collector. Larger groups cost a
+// collector more; smaller ones make more collectors that query each other.
 const maxGroupSize = 32
 
-// Group is the gateways of one zone that tell the same collector.
+// Group is a set of gateways of one zone that report to the same collector.
 type Group struct {
-	// Zone and Number name it.
+	// Zone and Number identify the group.
 	Zone   string
 	Number int
-	// Members are its gateways. The first one that answers collects.
+	// Members are its gateways. The first one that answers is the collector.
 	Members []Gateway
 }
 
-// Plan is who collects for whom, as one gateway sees it.
+// Plan assigns gateways to groups and thereby to collectors, as one gateway sees it.
 type Plan struct {
-	// Own is this gateway's group, and Others are the others.
+	// Own is this gateway's group, and Others are the other groups.
 	Own    Group
 	Others []Group
 }
 
-// NewPlan returns the plan of the gateway among all live ones, itself included.
+// NewPlan returns the plan of the gateway self among all live ones, which include it.
 func NewPlan(self string, live []Gateway) Plan {
 	byZone := map[string][]Gateway{}
 	for _, each := range live {
@@ -69,8 +68,9 @@
 	return plan
 }
 
-// groupsOf divides a zone's gateways, so that the largest ones collect and each group
-// has some of them. Equals are in hash order, which all gateways agree on.
+// groupsOf divides the gateways of a zone into groups. The gateways with the largest capacity come
+// first and are spread over the groups, so that they become the collectors. Gateways of equal
+// capacity are in hash order, on which all gateways agree.
 func groupsOf(zone string, members []Gateway) []Group {
 	slices.SortFunc(members, func(a, b Gateway) int {
 		return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID)))
@@ -88,5 +88,5 @@
 	return slices.ContainsFunc(g.Members, func(each Gateway) bool { return each.ID == id })
 }
 
-// key names the group among all.
+// key identifies the group among all groups.
 func (g Group) key() string { return fmt.Sprint(g.Zone, "/", g.Number) }
--- a/internal/collect/serve.go
+++ b/internal/collect/serve.go
@@ -11,11 +11,11 @@
 	"github.com/harriernotch/harriernotch/internal/dispatch"
 )
 
-// errNobodyTells means that a gateway was taken for a collector whose group doesn't tell
-// it anything.
-var errNoMembers = errors.New("no gateway tells it its counts")
+// errNoMembers means that the gateway that was queried as a collector gets no reports from its
+// group.
+var errNoMembers = errors.New("no gateway reports its counts to this collector")
 
-// ServeHTTP takes a connection of a member or of another collector.
+// ServeHTTP accepts a connection from a member or from another collector.
 func (s *Service) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	socket, err := websocket.Accept(w, request, nil)
 	if err != nil {
--- a/internal/collect/service.go
+++ b/internal/collect/service.go
@@ -19,60 +19,61 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// Path is where a gateway takes questions of others.
+// Path is where a gateway accepts queries of other gateways.
 const Path = "/loads"
 
-// Source is the knowledge of one gateway.
+// Source provides the counts of one gateway and receives the totals.
 type Source interface {
-	// Live returns the live gateways, itself included, and whether they are so many
-	// that not all tell each other their loads.
+	// Live returns the live gateways, including this one. large is true if there are so many that
+	// they don't all exchange their loads directly.
 	Live() (gateways []Gateway, large bool)
-	// Counts returns its own counts, and TakeTotals takes the sums in which those it
-	// told are counted in.
+	// Counts returns the gateway's own counts. ApplyTotals sets the totals; own are the counts that
+	// it reported and that are included in them.
 	Counts() []dispatch.Count
-	ApplyTotals(told []dispatch.Count, totals dispatch.Totals)
-	// Tallies returns its own of moves to other versions, and TakeTallies takes the sums in
-	// which those it told are counted in.
+	ApplyTotals(own []dispatch.Count, totals dispatch.Totals)
+	// Tallies returns the gateway's own tallies of rollouts. SetTallyTotals sets their totals; own
+	// are the tallies that it reported and that are included in them.
 	Tallies() []rollout.Tally
-	SetTallyTotals(told []rollout.Tally, totals dispatch.Totals)
+	SetTallyTotals(own []rollout.Tally, totals dispatch.Totals)
 }
 
-// Config sets up a Service.
+// Config configures a Service.
 type Config struct {
-	// ID names this gateway.
+	// ID is this gateway's ID.
 	ID string
-	// Source knows and learns.
+	// Source provides the counts and receives the totals.
 	Source Source
-	// Dial opens connections; nil uses TCP.
+	// Dial opens connections; nil means TCP.
 	Dial hop.DialFunc
-	// Clock tells ages; nil is the monotonic one.
+	// Clock measures ages; nil is the monotonic one.
 	Clock *clock.Clock
-	// Log and Metrics take what operators should know.
+	// Log and Metrics receive events and metrics for operators.
 	Log     *eventlog.Log
 	Metrics tally.Scope
 }
 
 const (
-	// period is the time between two questions of a gateway. Together with the next
-	// collector's it bounds the age of what a gateway knows. It stretches with the
-	// number of back ends beyond quickBackEnds, since an answer tells of each.
+	// period is the time between two reports of a gateway. Together with the interval at which
+	// collectors query each other, it bounds the age of what a gateway knows. It grows with the
+	// number of back ends beyond fullRateBackEnds, since an answer contains counts for each of
+	// them.
 	period           = 250 * time.Millisecond
 	fullRateBackEnds = 500
-	// answerTime is how long a collector may take to answer; silentTime is how long
-	// one that didn't is passed over.
+	// answerTimeout is how long a collector may take to answer, and silentSkipTime how long one
+	// that didn't answer is skipped.
 	answerTimeout  = 400 * time.Millisecond
 	silentSkipTime = 3 * time.Second
-	// untoldTime is how long a collector is passed over that answers, and that nobody of its
-	// group tells yet: where gateways start together, its members do within a period. Shorter
-	// times keep the members behind it, one of which may be told instead, from being asked.
+	// noMembersSkipTime is how long a collector is skipped that answers but has no members yet.
+	// Where gateways start together, its members report within a period. A shorter time would keep
+	// the members after it, one of which may be the one that gets the reports, from being queried.
 	noMembersSkipTime = time.Second
-	// maxMessageBytes bounds a message.
+	// maxMessageBytes limits the size of a message.
 	maxMessageBytes = 1 << 20
-	// idleTime is how long a connection may be without a question.
+	// idleTimeout is how long a connection may go without a query.
 	idleTimeout = 5 * time.Second
 )
 
-// Service tells this gateway's counts, and collects those of others when they come.
+// Service reports this gateway's counts, and collects those of other gateways that report to it.
 type Service struct {
 	config Config
 	ctx    context.Context
@@ -83,15 +84,15 @@
 	mutex      sync.Mutex
 	aggregator *Aggregator
 	plan       Plan
-	// silentUntil is when a gateway that didn't answer may be asked again, by ID.
+	// skippedUntil is when a gateway that failed as a collector may be queried again, by ID.
 	skippedUntil map[string]time.Time
-	// links are the connections that this gateway opened, by ID of the other one.
+	// links are the connections that this gateway opened, by the ID of the other gateway.
 	links map[string]*link
-	// asking holds the groups that are being asked.
+	// inFlight holds the keys of the groups that are being queried.
 	inFlight map[string]bool
 }
 
-// Start begins to tell and to collect.
+// Start starts reporting and collecting.
 func Start(config Config) *Service {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Service{
@@ -109,8 +110,8 @@
 	s.tasks.Wait()
 }
 
-// run asks once a period. In a small fleet all gateways tell each other their loads, and
-// nothing is collected.
+// run reports and queries once per period. In a small fleet all gateways exchange their loads
+// directly, and nothing is collected.
 func (s *Service) run() {
 	var queries conc.WaitGroup
 	defer queries.Wait()
@@ -146,14 +147,15 @@
 	maps.DeleteFunc(s.skippedUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
 }
 
+// isLarge reports whether the fleet was large at the last update of the plan.
 func (s *Service) isLarge() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.plan.Own.Members) > 0
 }
 
-// tell tells the counts to the group's collector and takes the sums. It returns the time
-// to the next question.
+// report reports the counts to the group's collector and applies the totals. It returns the time
+// until the next report.
 func (s *Service) report() time.Duration {
 	counts, tallies := s.config.Source.Counts(), s.config.Source.Tallies()
 	collector := s.collectorOf(s.plan.Own)
@@ -168,7 +170,7 @@
 		totals, err = s.query(collector, queryMessage{From: s.config.ID, Counts: pack(counts), Tallies: tallies})
 		if err != nil {
 			s.skipCollector(collector, err)
-			return 0 // the next one is asked at once
+			return 0 // the next collector is tried immediately
 		}
 	}
 	s.config.Source.ApplyTotals(counts, totals)
@@ -176,13 +178,13 @@
 	return periodFor(len(totals.Counts))
 }
 
-// periodFor returns the time between two questions in front of so many back ends.
+// periodFor returns the time between two reports in front of the given number of back ends.
 func periodFor(backEnds int) time.Duration {
 	return max(period, period*time.Duration(backEnds)/fullRateBackEnds)
 }
 
-// firstAnswering returns the gateway that collects for the group: the first one that
-// isn't passed over. This gateway answers itself.
+// collectorOf returns the gateway that collects for the group: the first one that isn't being
+// skipped, or the first of all if there is none. This gateway never skips itself.
 func (s *Service) collectorOf(group Group) Gateway {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -195,6 +197,8 @@
 	return group.Members[0]
 }
 
+// skipCollector logs that the collector failed, and skips it for a while, unless this service is
+// closing.
 func (s *Service) skipCollector(collector Gateway, cause error) {
 	if s.ctx.Err() != nil {
 		return
@@ -210,8 +214,8 @@
 	s.skippedUntil[collector.ID] = s.config.Clock.Now().Add(skipTime)
 }
 
-// askGroups asks the other groups' collectors for their sums, while members come to this
-// gateway.
+// queryGroups queries the collectors of the other groups for their totals, while members report to
+// this gateway.
 func (s *Service) queryGroups(tasks *conc.WaitGroup) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/collect/service_test.go
+++ b/internal/collect/service_test.go
@@ -19,7 +19,7 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// node is one gateway of a fleet over a network in memory.
+// node is one gateway of a fleet that is connected by an in-memory network.
 type node struct {
 	self    Gateway
 	service *Service
@@ -27,7 +27,7 @@
 
 	mutex sync.Mutex
 	live  []Gateway
-	// tellsFrom is when it begins to tell its counts.
+	// reportsFrom is when it starts to report its counts.
 	reportsFrom time.Time
 	totals      dispatch.Totals
 	tallies     []rollout.Tally
@@ -40,7 +40,7 @@
 	return n.live, !time.Now().Before(n.reportsFrom)
 }
 
-// Counts has one request under way at the same back end for every gateway.
+// Counts has one request in flight at the same back end for every gateway.
 func (n *node) Counts() []dispatch.Count { return []dispatch.Count{{Key: 7, Requests: 1, Demand: 3}} }
 
 func (n *node) ApplyTotals(_ []dispatch.Count, totals dispatch.Totals) {
@@ -59,7 +59,7 @@
 	n.tallies = totals.Tallies
 }
 
-// knows tells whether the last totals came of late and count so many gateways.
+// hasTotals reports whether the last totals are recent and include the given number of gateways.
 func (n *node) hasTotals(gateways int) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -73,7 +73,7 @@
 	n.service.Close()
 }
 
-// startFleet starts so many gateways in three zones.
+// startFleet starts the given number of gateways in three zones.
 func startFleet(t *testing.T, count int) []*node {
 	network := pipenet.New()
 	log := eventlog.New(io.Discard, logrus.InfoLevel, nil)
@@ -97,8 +97,8 @@
 	return nodes
 }
 
-// A connection that the collector closed since it rested is opened again within one
-// question: the collector isn't taken for silent.
+// A connection that the collector has closed because it was idle is reopened within one query. The
+// collector doesn't count as silent.
 func TestClosedConnectionIsReopenedWithinOneQuery(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -119,12 +119,13 @@
 	})
 }
 
-// A collector whose members don't tell it yet is asked again soon: one that was asked a moment
-// before the first of them told it was passed over for 3 s, and a whole zone unknown so long.
+// A collector whose members don't report to it yet is queried again soon. If it were skipped as
+// long as a silent one, for 3 s, a query just before the first report would leave a whole zone
+// unknown for that time.
 func TestCollectorWithoutMembersIsQueriedAgainSoon(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		const count = 40 // groups are larger than a second has questions
+		const count = 40 // groups have more members than are queried in a second
 		nodes := startFleet(t, count)
 		for _, each := range nodes {
 			if each.self.Zone == "z1" {
@@ -143,8 +144,8 @@
 	})
 }
 
-// Every gateway knows the sums over all of them within two seconds of its start, and
-// again soon after the collector of its group was lost.
+// Every gateway has the totals of all of them within two seconds after the start, and again soon
+// after the collector of its group has failed.
 func TestAllGatewaysGetTheTotals(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/collect/crowd_test.go
+++ b/internal/collect/simulation_test.go
@@ -15,8 +15,8 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// crowd plays the cores of many gateways that share a pool and collect their loads, on a
-// clock of its own. Some of the words between them are lost.
+// simulation runs the dispatch cores of many gateways that share a pool and collect their loads, in
+// simulated time. Some messages between the gateways are lost.
 type simulation struct {
 	random      *rand.Rand
 	now         time.Time
@@ -29,14 +29,15 @@
 	sent        int
 	overBound   int
 	refused     int
-	// readers are the back ends that read each part, and copies counts further ones.
+	// prefilledAt holds the back ends that prefilled each part. extraPrefills counts those beyond
+	// the first of each part.
 	prefilledAt   map[string]map[string]bool
 	extraPrefills int
-	// sentTo counts requests by back end, and queued those that found all places taken.
+	// sentTo counts the requests by back end. queued counts those that found all slots taken.
 	sentTo map[string]int
 	queued int
 	slots  int
-	// runTime is the mean time of a request for a part at a back end.
+	// runTime returns the mean duration of a request for a part at a back end.
 	runTime func(part, id string) time.Duration
 }
 
@@ -62,16 +63,16 @@
 	backEndSlots = 12
 	zoneCount    = 6
 	partCount    = 2800
-	// partSkew makes some parts more wanted than others.
+	// partSkew makes some parts more popular than others.
 	partSkew    = 0.7
 	meanRunTime = 900 * time.Millisecond
-	// plain in place of a share of a hot part plays requests without prompts.
+	// noPrompts, in place of the share of a hot part, simulates requests without prompts.
 	noPrompts = -1
-	// lostShare is the part of the words between gateways that is lost.
+	// lossRate is the fraction of the messages between gateways that is lost.
 	lossRate = 0.03
-	// window is the time over which the bound is judged.
+	// window is the time over which the load bound is checked.
 	window = 5 * time.Second
-	// allowedMultiple and allowedSlack are the operators' bound on load.
+	// allowedMultiple and allowedSlack are the operators' load bound.
 	allowedMultiple = 2
 	allowedSlack    = 3
 )
@@ -110,7 +111,8 @@
 	return s
 }
 
-// step plays one moment at so many requests a second, hotShare of them for one part.
+// step simulates one time step at a rate of perSecond requests, of which the fraction hotShare is
+// for one part.
 func (s *simulation) step(perSecond, hotShare float64) {
 	s.now = s.now.Add(timeStep)
 	s.completeRequests()
@@ -174,7 +176,7 @@
 	s.sendPrompt(part, []dispatch.Part{{ID: part, Tokens: 9000}, {ID: "own"}})
 }
 
-// sendPrompt sends a request with the parts, or a plain one without any.
+// sendPrompt sends a request with the parts, or one without a prompt if there are none.
 func (s *simulation) sendPrompt(part string, parts []dispatch.Part) {
 	core := s.gateways[s.random.IntN(len(s.gateways))].core
 	x, decision := core.Begin(s.now, dispatch.Request{
@@ -216,8 +218,8 @@
 	backEnds[backEnd] = true
 }
 
-// Hundreds of gateways that each decide alone keep the operators' bound, refuse nothing
-// while there is room, and read few parts at more back ends than one.
+// Hundreds of gateways that each decide alone keep the operators' load bound, refuse no request
+// while there is room, and have few parts prefilled at more than one back end.
 func TestLargeFleetsKeepTheLoadBound(t *testing.T) {
 	for _, size := range []struct {
 		gateways, members int
@@ -228,22 +230,22 @@
 				is := is.New(t)
 				s := newSimulation(size.gateways, size.members, backEndSlots)
 				for range time.Second / timeStep {
-					s.step(0, 0) // gateways are up before their callers come
+					s.step(0, 0) // gateways start before the first requests arrive
 				}
 				for range window / timeStep {
 					s.step(size.perSecond, hotShare)
 				}
-				t.Logf("%d of %d over the bound, %d copies of %d parts", s.overBound, s.sent, s.extraPrefills, len(s.prefilledAt))
-				is.True(float64(s.overBound) <= 0.03*float64(s.sent)) // as many are allowed
+				t.Logf("%d of %d over the bound, %d extra prefills of %d parts", s.overBound, s.sent, s.extraPrefills, len(s.prefilledAt))
+				is.True(float64(s.overBound) <= 0.03*float64(s.sent)) // up to 3% are allowed
 				is.Equal(s.refused, 0)
 			})
 		}
 	}
 }
 
-// A plain service with short work, in front of which loads are known ten run times late,
-// is shared evenly: gateways don't all send to the one that looked idle. A back end that
-// takes twice as long gets fewer requests.
+// Short requests without prompts are balanced evenly although loads are known only ten run times
+// later: the gateways don't all send to the back end that looked idle. A back end that takes twice
+// as long gets fewer requests.
 func TestShortRequestsAreBalancedDespiteOutdatedLoads(t *testing.T) {
 	simulate := func(disabled ...dispatch.Mechanism) *simulation {
 		s := newSimulation(103, 5, 6, disabled...)
@@ -260,16 +262,16 @@
 	}
 	is := is.New(t)
 	s := simulate()
-	t.Logf("%d of %d found all places taken; sent %v", s.queued, s.sent, s.sentTo)
+	t.Logf("%d of %d found all slots taken; sent %v", s.queued, s.sent, s.sentTo)
 	is.True(float64(s.queued) < 0.12*float64(s.sent))
 	is.True(float64(s.sentTo[backEndID(0)]) < 0.75*float64(s.sentTo[backEndID(1)]))
 	withoutSpread := simulate(dispatch.Spread)
-	t.Logf("%d of %d found all places taken without the spread", withoutSpread.queued, withoutSpread.sent)
+	t.Logf("%d of %d found all slots taken without the spread", withoutSpread.queued, withoutSpread.sent)
 	is.True(withoutSpread.queued > 3*s.queued)
 }
 
-// A part that is much wanted and runs for a tenth of the others' time needs few back ends.
-// What it needs isn't spread over dozens, which would send the parts at home there away.
+// A popular part whose requests run for a tenth of the others' time needs few back ends. Spreading
+// it over dozens would displace the parts that are usually served there.
 func TestShortRequestsForOnePartUseFewBackEnds(t *testing.T) {
 	is := is.New(t)
 	s := newSimulation(103, 180, backEndSlots)
@@ -287,8 +289,8 @@
 	for range window / timeStep {
 		s.step(perSecond, hotShare)
 	}
-	t.Logf("%d back ends read the part, %d copies of %d parts, %d of %d over the bound", len(s.prefilledAt["hot"]), s.extraPrefills, len(s.prefilledAt), s.overBound, s.sent)
+	t.Logf("%d back ends prefilled the part, %d extra prefills of %d parts, %d of %d over the bound", len(s.prefilledAt["hot"]), s.extraPrefills, len(s.prefilledAt), s.overBound, s.sent)
 	is.True(len(s.prefilledAt["hot"]) <= 40)
-	is.True(s.extraPrefills <= 450) // the parts at home there aren't sent away
+	is.True(s.extraPrefills <= 450) // the parts that are usually served there aren't displaced
 	is.True(float64(s.overBound) <= 0.03*float64(s.sent))
 }
--- a/internal/relay/landed_test.go
+++ b/internal/relay/compatibility_test.go
@@ -13,15 +13,15 @@
 	"github.com/harriernotch/harriernotch/internal/dispatch"
 )
 
-// landedMessages are messages as landed builds wrote them, with every field set.
+// recordedMessages are messages as earlier builds wrote them, with every field set.
 const recordedMessages = "testdata/landed/message-*.cbor"
 
-// Every build reads the messages of the builds that landed before it: gateways of both run side
-// by side while machines are replaced.
+// Every build decodes the messages of earlier builds: gateways of both run side by side while
+// machines are being replaced.
 func TestMessagesOfEarlierBuildsAreDecoded(t *testing.T) {
 	files, err := filepath.Glob(recordedMessages)
 	if err != nil || len(files) == 0 {
-		t.Fatal("no message of a landed build", err)
+		t.Fatal("no message of an earlier build", err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -55,11 +55,11 @@
 	}
 }
 
-// lastFields are the highest numbers of the fields that landed builds of the records know.
+// lastFields are the highest field numbers that the recorded builds know.
 var lastFields = map[string]int{"018ec82": 19, "6219fa5": 25}
 
-// A build before this one finds in a message of ours what it knows, as it wrote it itself, and
-// passes over the rest.
+// An earlier build finds the fields that it knows in a message of this build, encoded as it encodes
+// them itself, and all other fields have higher numbers.
 func TestEarlierBuildsFindTheirFieldsInOurMessages(t *testing.T) {
 	for build, last := range lastFields {
 		t.Run(build, func(t *testing.T) {
--- a/internal/relay/connect.go
+++ b/internal/relay/connect.go
@@ -14,19 +14,21 @@
 )
 
 const (
-	// silence is how long a connection may be without a message.
+	// idleTimeout is how long a connection may go without a message from the peer.
 	idleTimeout = 2 * time.Second
-	// dialTimeout and writeTimeout bound one step.
+	// dialTimeout and writeTimeout limit one dial and one write.
 	dialTimeout  = 600 * time.Millisecond
 	writeTimeout = time.Second
-	// compressedBytes is the length from which a message is compressed: lists of back ends
-	// and configurations, which repeat their words, and not the messages of each period,
-	// for which it isn't worth its processor time. In front of 2,998 back ends 298 gateways
-	// sent half as many bytes with it (296 to 143 KB a second, a day with all faults).
+	// compressionThreshold is the size in bytes from which a message is compressed. Lists of back
+	// ends and configurations, which repeat the same words, are longer; the regular messages of
+	// each period, which aren't worth the processor time, are shorter. With compression, 298
+	// gateways in front of 2,998 back ends send half as many bytes (143 instead of 296 KB/s over a
+	// day with all faults).
 	compressionThreshold = 2048
 )
 
-// connect opens the connections that the book wants.
+// maintainLinks opens and closes connections as the peer table demands, and updates this gateway's
+// place and the known fleet in the state.
 func (r *Relay) maintainLinks() {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -55,12 +57,12 @@
 	cancel   context.CancelFunc
 }
 
-// surplusAge is how long a connection is kept that is needed no more: both sides have
-// told each other what they know by then.
+// minLinkAge is how long a connection is kept before it may be closed as not needed: by then both
+// sides have sent each other what they know.
 const minLinkAge = 2 * time.Second
 
-// closeSurplus ends connections to seeds that aren't needed any more: else a fleet of
-// hundreds would hang on three gateways.
+// closeSurplus closes connections to seeds that aren't needed any more. Otherwise a fleet of
+// hundreds of gateways would stay connected to its three seeds.
 func (r *Relay) closeSurplus(now time.Time) {
 	var candidates []string
 	for peer, link := range r.opened {
@@ -96,7 +98,7 @@
 	r.mutex.Unlock()
 }
 
-// ServeHTTP takes a connection from a peer.
+// ServeHTTP accepts a connection from a peer.
 func (r *Relay) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != Path {
 		http.NotFound(w, request)
@@ -112,7 +114,7 @@
 	r.serve(r.ctx, socket, request.Header.Get(hop.HeaderNode))
 }
 
-// serve runs a connection until it ends or the context does.
+// serve runs a connection until it ends or ctx is done.
 func (r *Relay) serve(ctx context.Context, socket *websocket.Conn, peer string) {
 	defer socket.CloseNow()
 	if peer == "" || peer == r.config.ID {
--- a/internal/relay/holdings.go
+++ b/internal/relay/holdings.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// holdingsPerSecond bounds the holdings that a gateway tells all of its neighbours
-	// together, at about 12 bytes each: a part of the 16 KB a second that control may
-	// cost. Beyond quickGateways, where more links share the bytes, it falls with their
-	// number; leastHoldings may be told in each message all the same.
+	// holdingsPerSecond limits the holdings that a gateway sends to all of its neighbours together.
+	// At about 12 bytes each, they are a part of the 16 KB/s that control traffic may cost. Beyond
+	// fullRateGateways gateways, where more links share the bytes, the limit falls in inverse
+	// proportion to the number of gateways; minHoldingsPerMessage may be sent in each message
+	// regardless.
 	holdingsPerSecond     = 500
 	minHoldingsPerMessage = 4
-	// mostHoldings bounds those of one message, which stays shorter than those that are
-	// compressed: a compressor takes a megabyte.
+	// maxHoldingsPerMessage limits the holdings of one message, so that it stays shorter than
+	// compressionThreshold: a compressor takes a megabyte of memory.
 	maxHoldingsPerMessage = 40
-	// holdingsSaved is the time for which what wasn't told is saved up. News comes in
-	// waves: while caches fill, or homes move, it is ten times the usual, and a gateway
-	// that hears of a holder seconds late has the part read again elsewhere. With 4 s in
-	// place of none, 23 gateways before 42 engines had a quarter of the shared tokens
-	// read again less.
+	// holdingsBurstTime is the time over which unused budget accumulates. Holdings change in
+	// bursts: while caches fill, or prompt parts move to other back ends, the rate is ten times the
+	// usual. A gateway that learns of a holder seconds late has the part prefilled again elsewhere.
+	// With 4 s instead of none, 23 gateways in front of 42 engines had a quarter fewer shared
+	// tokens prefilled again.
 	holdingsBurstTime = 4 * time.Second
 )
 
-// holdingsBudget bounds the holdings that are told on one connection. It begins full: who
-// has just started knows of none.
+// holdingsBudget limits the holdings that are sent on one connection. It starts full, since a peer
+// that has just started knows of no holdings.
 type holdingsBudget struct {
 	limiter *rate.Limiter
 }
 
-// left returns how many holdings may be told now, in a fleet of so many gateways.
+// available returns how many holdings may be sent now, in a fleet of the given number of gateways.
 func (b *holdingsBudget) available(now time.Time, gateways int) int {
 	perSecond := holdingsPerLink(gateways)
 	limit, burst := rate.Limit(perSecond), max(minHoldingsPerMessage, int(perSecond*holdingsBurstTime.Seconds()))
@@ -44,13 +45,13 @@
 	return min(max(minHoldingsPerMessage, int(b.limiter.TokensAt(now))), maxHoldingsPerMessage)
 }
 
-// spend takes holdings that were told off the budget.
+// spend deducts holdings that were sent.
 func (b *holdingsBudget) spend(now time.Time, count int) {
 	b.limiter.ReserveN(now, min(count, b.limiter.Burst()))
 }
 
-// holdingsPerLink returns how many holdings a second may be told on one connection in a
-// fleet of so many gateways.
+// holdingsPerLink returns how many holdings per second may be sent on one connection, in a fleet of
+// the given number of gateways.
 func holdingsPerLink(gateways int) float64 {
 	perSecond := holdingsPerSecond * min(1, fullRateGateways/float64(gateways))
 	return perSecond / float64(max(1, linkCount(gateways)))
--- a/internal/relay/holdings_test.go
+++ b/internal/relay/holdings_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// tellAll tells as many holdings as the budget leaves in each message until the time is
-// over, and returns their sum.
+// sendAll sends as many holdings as the budget allows in each message until the time is over, and
+// returns their number.
 func sendAll(budget *holdingsBudget, from time.Time, gateways int, during time.Duration) int {
 	sent := 0
 	for at := from; at.Before(from.Add(during)); at = at.Add(periodFor(gateways)) {
@@ -19,8 +19,8 @@
 	return sent
 }
 
-// News of holders comes in waves, which are told at once; what is told over a long time
-// stays within the bytes that control may cost.
+// Updates on holdings come in bursts, which are sent at once. What is sent over a long time stays
+// within the bytes that control traffic may cost.
 func TestHoldingsBurstsAreSentAtOnce(t *testing.T) {
 	is := is.New(t)
 	for _, gateways := range []int{3, 23, 340} {
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -13,33 +13,34 @@
 // link is one open connection.
 type link struct {
 	socket *websocket.Conn
-	// wake makes the writer send at once.
+	// wake makes the writer send immediately.
 	wake chan struct{}
-	// ask and give are what the next message carries: a question for the peer's
-	// document, and the answer to the peer's.
+	// requestDocument and sendDocument determine what the next message contains: a request for the
+	// peer's document, and the document that the peer requested.
 	requestDocument atomic.Bool
 	sendDocument    atomic.Bool
-	// lacking are the buckets of back ends that the next message asks the peer for.
+	// requested are the buckets whose missing back ends the next message requests from the peer.
 	requested atomic.Uint64
-	// repair is the reader's alone.
+	// repair is used only by the reader.
 	repair repair
 
 	mutex sync.Mutex
-	// asked is what the peer asked for since the last message to it.
+	// peerRequest is what the peer has requested since the last message to it.
 	peerRequest bucketRequest
-	// heard are the entries that the peer told since the last message to it.
+	// receivedEntries are the entries that the peer has sent since the last message to it.
 	receivedEntries map[string]catalog.Entry
-	// heardHoldings are the holdings that it told of late.
+	// receivedHoldings are holdings that the peer has sent recently.
 	receivedHoldings map[holding]struct{}
 }
 
-// peerQuestion is a peer's question for back ends: the buckets, and those that it knows.
+// bucketRequest is a peer's request for the back ends in some buckets, with the checksums of those
+// that it knows.
 type bucketRequest struct {
 	buckets catalog.Buckets
 	known   catalog.Checksums
 }
 
-// noteAsked remembers what the peer asked for.
+// addPeerRequest records what the peer requested.
 func (l *link) addPeerRequest(message Message) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -47,7 +48,7 @@
 	l.peerRequest.known = append(l.peerRequest.known, message.Checksums...)
 }
 
-// takeAsked returns what the peer asked for, once.
+// takePeerRequest returns what the peer requested, and clears it.
 func (l *link) takePeerRequest() bucketRequest {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -62,13 +63,13 @@
 	part    uint64
 }
 
-// incarnationOf returns the back end that the holdings are of.
+// incarnationOf returns the incarnation of the back end that has the holdings.
 func incarnationOf(holdings dispatch.Holdings) catalog.Incarnation {
 	return catalog.Incarnation{ID: holdings.BackEnd, Born: holdings.Born}
 }
 
-// maxHeardHoldings bounds the memory of a connection for holdings, to the length of the
-// news that gateways keep.
+// maxReceivedHoldings limits the received holdings that a connection remembers, to the number of
+// holding updates that a gateway keeps.
 const maxReceivedHoldings = 4096
 
 func newLink(socket *websocket.Conn) *link {
@@ -78,7 +79,7 @@
 	}
 }
 
-// noteHoldings remembers what the peer told, which needn't be told to it.
+// recordHoldings records holdings that the peer sent, which needn't be sent back to it.
 func (l *link) recordHoldings(list []dispatch.Holdings) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -92,8 +93,8 @@
 	}
 }
 
-// untoldHoldings returns the holdings that the peer didn't tell itself. One that it told
-// is forgotten with that, since it may be told again when it has grown old.
+// withoutReceivedHoldings returns the holdings that the peer didn't send itself. A holding that the
+// peer sent is left out once and then forgotten, since it may have to be sent again once it is old.
 func (l *link) withoutReceivedHoldings(list []dispatch.Holdings) []dispatch.Holdings {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -116,7 +117,7 @@
 	return filtered
 }
 
-// note remembers what the peer told, which needn't be told to it.
+// recordEntries records entries that the peer sent, which needn't be sent back to it.
 func (l *link) recordEntries(entries []catalog.Entry) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -125,15 +126,15 @@
 	}
 }
 
-// untold returns the entries that the peer didn't tell itself, and forgets what it
-// told.
+// withoutReceivedEntries returns the entries that the peer didn't send itself, and forgets those
+// that it sent.
 func (l *link) withoutReceivedEntries(entries []catalog.Entry) []catalog.Entry {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var list []catalog.Entry
 	for _, entry := range entries {
 		asReceived := entry
-		asReceived.BackEnd.WarmUpAt = catalog.Position{} // as it comes from a peer
+		asReceived.BackEnd.WarmUpAt = catalog.Position{} // not sent between peers
 		if received, ok := l.receivedEntries[entry.BackEnd.ID]; !ok || received != asReceived {
 			list = append(list, entry)
 		}
@@ -142,6 +143,7 @@
 	return list
 }
 
+// wakeWriter makes the writer send immediately.
 func (l *link) wakeWriter() {
 	select {
 	case l.wake <- struct{}{}:
--- a/internal/relay/link_test.go
+++ b/internal/relay/link_test.go
@@ -9,7 +9,7 @@
 	"github.com/harriernotch/harriernotch/internal/dispatch"
 )
 
-// What a peer told isn't told back to it, but what changed since is.
+// An entry that a peer sent isn't sent back to it, but later changes of the entry are.
 func TestEntriesAreNotEchoed(t *testing.T) {
 	is := is.New(t)
 	link := newLink(nil)
@@ -20,7 +20,7 @@
 	is.Equal(link.withoutReceivedEntries([]catalog.Entry{old, other}), []catalog.Entry{other})
 	link.recordEntries([]catalog.Entry{old})
 	is.Equal(link.withoutReceivedEntries([]catalog.Entry{newer}), []catalog.Entry{newer})
-	is.Equal(link.withoutReceivedEntries([]catalog.Entry{old}), []catalog.Entry{old}) // noted once
+	is.Equal(link.withoutReceivedEntries([]catalog.Entry{old}), []catalog.Entry{old}) // received only once
 	cold := catalog.Entry{BackEnd: catalog.BackEnd{ID: "c", WarmUp: 3}, Revision: 5}
 	link.recordEntries([]catalog.Entry{cold})
 	cold.BackEnd.WarmUpAt = catalog.Position{Revision: 5}
@@ -40,10 +40,11 @@
 		{BackEnd: "b", Parts: []uint64{1}, Tokens: []int{2000}},
 	})
 	is.Equal(link.withoutReceivedHoldings([]dispatch.Holdings{{BackEnd: "a", Parts: []uint64{1}, Tokens: []int{2000}}}), nil)
-	is.Equal(len(link.withoutReceivedHoldings(changed)[0].Parts), 2) // told again when it is news again
+	is.Equal(len(link.withoutReceivedHoldings(changed)[0].Parts), 2) // sent again after a new update
 }
 
-// A message without news may be left out; whatever the receiver would miss is news.
+// After a message without an update the next one may be delayed, so everything that the receiver
+// would miss counts as an update.
 func TestMessageCarriesUpdate(t *testing.T) {
 	is := is.New(t)
 	before := Message{From: "g", Version: 3, KnowsEvacuations: true, StoreAgeMillis: 40}
--- a/internal/relay/book.go
+++ b/internal/relay/peertable.go
@@ -1,9 +1,9 @@
-// Package relay lets gateways pass on to each other what they know:
-// configurations, back ends, loads, and where other gateways are. A gateway that
-// the platform's store turns away still learns what its peers learn.
+// Package relay exchanges state between gateways by gossip: configurations, back ends, loads, and
+// the addresses of other gateways. A gateway whose calls the platform's store rejects still gets
+// all updates from its peers.
 //
-// Book is the state machine of who is known and whom to connect to; Relay is its
-// shell, over WebSocket with CBOR.
+// PeerTable is the state machine that tracks which gateways are known and decides which ones to
+// connect to. Relay runs it, over WebSocket with CBOR.
 package relay
 
 import (
@@ -17,80 +17,83 @@
 	"github.com/harriernotch/harriernotch/internal/gateway"
 )
 
-// Peer is another gateway as it is told to others.
+// Peer describes a gateway in a message to other gateways.
 type Peer struct {
 	// ID is the gateway's name.
 	ID string `cbor:"1,keyasint"`
-	// Address is its listener for peers.
+	// Address is the address of its listener for peers.
 	Address string `cbor:"2,keyasint"`
-	// AgeMillis is how long ago it was last heard of.
+	// AgeMillis is the time since it was last seen.
 	AgeMillis int64 `cbor:"3,keyasint"`
-	// StoreAgeMillis is how long ago, when it was last heard of, the store had
-	// answered it.
+	// StoreAgeMillis is how long ago the store had answered it at the time when it was last seen.
 	StoreAgeMillis int64 `cbor:"4,keyasint"`
-	// Zone is where it runs, and Capacity its share of a processor in hundredths of a
-	// core.
+	// Zone is where it runs, and Capacity its share of a processor in hundredths of a core.
 	Zone     string `cbor:"5,keyasint,omitempty"`
 	Capacity int    `cbor:"6,keyasint,omitempty"`
 }
 
 const (
-	// liveAge is how long a gateway counts as live after it was heard of, and
-	// liveAgePerPeer how much longer for each gateway known: in a large fleet each
-	// is told of more seldom.
+	// liveTimeout is how long a gateway counts as live after it was last seen, and
+	// liveTimeoutPerPeer how much longer for each known gateway: in a large fleet, each one is
+	// reported less often.
 	liveTimeout        = 6 * time.Second
 	liveTimeoutPerPeer = 50 * time.Millisecond
-	// maxTold bounds the peers in one message; the next one goes on from there.
+	// maxPeersPerMessage limits the peers in one message; the next message continues from there.
 	maxPeersPerMessage = 16
-	// forgetAge is how long its address is kept.
+	// forgetTimeout is how long a gateway is remembered after it was last seen. Reported store ages
+	// are capped at it.
 	forgetTimeout = 5 * time.Minute
-	// meshSize is the number of gateways up to which all are connected.
+	// fullMeshSize is the number of gateways up to which all are connected to each other.
 	fullMeshSize = 10
-	// fewestReaders is the number of gateways that read and watch the store all the
-	// time; the others learn from them and read seldom. So the calls to the store
-	// don't grow with the fleet. More of them cost more calls, and make it less likely
-	// that all are turned away at once: of more than meshSize gateways, mostReaders
-	// read, since there it takes longer until the others notice.
+	// smallFleetReaders and largeFleetReaders are the numbers of gateways that read and watch the
+	// store continuously, in fleets of up to fullMeshSize gateways and in larger ones. The others
+	// get updates from them and read rarely, so that the number of calls to the store doesn't grow
+	// with the fleet. More readers cost more calls, but make it less likely that the store rejects
+	// all of them at once. A larger fleet has one more, since there the others take longer to
+	// notice a rejection.
 	smallFleetReaders = 3
 	largeFleetReaders = 4
-	// freshStore is the age to which a gateway's last answer of the store counts,
-	// and freshStorePerPeer how much older it may be for each gateway known.
+	// maxStoreAge is the age up to which the store's last answer to a gateway counts as recent, and
+	// maxStoreAgePerPeer how much older it may be for each known gateway.
 	maxStoreAge        = 2 * time.Second
 	maxStoreAgePerPeer = 10 * time.Millisecond
-	// freshLink is how long ago a peer must have been heard directly for a gateway
-	// to leave the reading to others.
+	// contactTimeout is the time within which a peer must have sent a message to this gateway for
+	// it to leave reading the store to others.
 	contactTimeout = time.Second
 )
 
-// Book knows the other gateways. It is not safe for concurrent use.
+// PeerTable holds what is known of the other gateways. It is not safe for concurrent use.
 type PeerTable struct {
 	id       string
 	address  string
 	seeds    []string
 	peers    map[string]*peerState
 	dialedAt map[string]time.Time
-	// toldUpTo is the last peer that was told to others.
+	// lastSent is the ID of the last peer that was included in a message.
 	lastSent string
-	// seedsAt is when the seeds were last tried.
+	// seedsDialedAt is when the seeds were last tried.
 	seedsDialedAt time.Time
-	// ring is that of the last look at the neighbours.
+	// ring holds the neighbours as last computed.
 	ring ring
 }
 
+// peerState is what is known of a peer.
 type peerState struct {
-	address    string
+	address string
+	// lastSeenAt is when it was last seen, by this gateway or by one that reported it.
 	lastSeenAt time.Time
-	// directAt is when its last own message came.
+	// lastMessageAt is when it last sent a message to this gateway.
 	lastMessageAt time.Time
-	// storeAt is when the store last answered it.
+	// storeAnsweredAt is when the store last answered it.
 	storeAnsweredAt time.Time
-	links           int
+	// links is the number of open connections to it.
+	links int
 	// zone and capacity are those of Peer.
 	zone     string
 	capacity int
 }
 
-// NewBook returns the book of a gateway that knows its seeds' addresses alone.
+// NewPeerTable returns the table of a gateway that knows only the addresses of its seeds.
 func NewPeerTable(id, address string, seeds []string) *PeerTable {
 	return &PeerTable{id: id, address: address, seeds: seeds, peers: map[string]*peerState{}, dialedAt: map[string]time.Time{}}
 }
@@ -98,7 +101,7 @@
 // SetSeeds replaces the seeds.
 func (t *PeerTable) SetSeeds(seeds []string) { t.seeds = seeds }
 
-// Heard notes a message from a peer, with the peers that it knows.
+// ObserveMessage records a message from a peer and merges the peers that it reports.
 func (t *PeerTable) ObserveMessage(now time.Time, from Peer, others []Peer) {
 	t.merge(now, from)
 	if sender := t.peers[from.ID]; sender != nil {
@@ -109,6 +112,7 @@
 	}
 }
 
+// merge applies a report of a peer if it is newer than what is known of the peer.
 func (t *PeerTable) merge(now time.Time, report Peer) {
 	if report.ID == t.id || report.ID == "" || report.Address == "" || report.AgeMillis < 0 {
 		return
@@ -128,13 +132,14 @@
 	}
 }
 
-// Place returns this gateway's place among the others. Those read the store all the time
-// that are the first few, in hash order, of the live ones that the store answers. Where it
-// answers fewer, as after a start or while it is away, all others look for it, the first few
-// of the live ones at once and the rest at leisure: one that finds it is heard of at once.
-// A gateway that hears of no peer reads for itself. The gateways may disagree for a moment:
-// then a few more read, or the others' seldom reads make up for it. storeAge is how long ago
-// the store answered this gateway.
+// Place returns this gateway's place in the fleet. Readers are the first few gateways, in hash
+// order, of the live ones that the store answers. While it answers fewer, as after a start or
+// during an outage, every other gateway tries it too: the first few of the live ones, in hash
+// order, continuously, and the rest occasionally as standbys. A gateway that gets an answer becomes
+// a reader, and the others hear of that at once. A gateway without contact to any peer reads for
+// itself. The gateways may disagree for a moment; then a few more of them read, or the rare reads
+// of the others make up for the missing readers. storeAge is how long ago the store answered this
+// gateway.
 func (t *PeerTable) Place(now time.Time, storeAge time.Duration) gateway.Place {
 	place := gateway.Place{Gateways: t.LiveCount(now), Duty: gateway.Reader}
 	if !t.hasContact(now) {
@@ -152,7 +157,7 @@
 	return place
 }
 
-// isLinked tells whether a peer was heard directly of late.
+// hasContact reports whether a peer has sent this gateway a message within contactTimeout.
 func (t *PeerTable) hasContact(now time.Time) bool {
 	for _, peer := range t.peers {
 		if now.Sub(peer.lastMessageAt) <= contactTimeout {
@@ -162,7 +167,7 @@
 	return false
 }
 
-// before returns how many of the peers come before this gateway in hash order.
+// rankAmong returns how many of the peers precede this gateway in hash order.
 func (t *PeerTable) rankAmong(peers []string) int {
 	own, count := xxhash.Sum64String(t.id), 0
 	for _, id := range peers {
@@ -173,7 +178,7 @@
 	return count
 }
 
-// liveWithout returns the live peers but those.
+// liveExcept returns the live peers without the excluded ones.
 func (t *PeerTable) liveExcept(now time.Time, excluded []string) []string {
 	var live []string
 	for id, peer := range t.peers {
@@ -184,7 +189,7 @@
 	return live
 }
 
-// readers is how many gateways read the store all the time.
+// readerCount returns how many gateways should read the store continuously.
 func (t *PeerTable) readerCount() int {
 	if len(t.peers) < fullMeshSize {
 		return smallFleetReaders
@@ -192,12 +197,12 @@
 	return largeFleetReaders
 }
 
-// freshStore is the age to which a gateway's last answer of the store counts.
+// storeAgeLimit returns the age up to which the store's last answer to a gateway counts as recent.
 func (t *PeerTable) storeAgeLimit() time.Duration {
 	return maxStoreAge + time.Duration(len(t.peers))*maxStoreAgePerPeer
 }
 
-// reading returns the first peers, in hash order, that the store answers.
+// currentReaders returns the first peers, in hash order, that the store answers.
 func (t *PeerTable) currentReaders(now time.Time) []string {
 	limit := t.storeAgeLimit()
 	var answered []string
@@ -210,7 +215,7 @@
 	return answered[:min(t.readerCount(), len(answered))]
 }
 
-// LinkUp and LinkDown count the open connections to a peer.
+// LinkUp records a new connection to a peer.
 func (t *PeerTable) LinkUp(id string) {
 	if t.peers[id] == nil {
 		t.peers[id] = &peerState{}
@@ -218,14 +223,14 @@
 	t.peers[id].links++
 }
 
-// LinkDown is the end of a connection.
+// LinkDown records the end of a connection to a peer.
 func (t *PeerTable) LinkDown(id string) {
 	if peer := t.peers[id]; peer != nil {
 		peer.links--
 	}
 }
 
-// Live returns the number of live gateways, this one included.
+// LiveCount returns the number of live gateways, including this one.
 func (t *PeerTable) LiveCount(now time.Time) int {
 	count := 1
 	for _, peer := range t.peers {
@@ -236,7 +241,7 @@
 	return count
 }
 
-// Fleet returns all gateways that were heard of and aren't forgotten, live or not.
+// Fleet returns all gateways that have been seen and aren't forgotten, live or not.
 func (t *PeerTable) Fleet() dispatch.Fleet {
 	fleet := dispatch.Fleet{Self: t.id}
 	for id, peer := range t.peers {
@@ -261,13 +266,13 @@
 	return live
 }
 
+// isLive reports whether the peer was seen recently enough to count as live.
 func (t *PeerTable) isLive(now time.Time, peer *peerState) bool {
 	return now.Sub(peer.lastSeenAt) <= liveTimeout+time.Duration(len(t.peers))*liveTimeoutPerPeer
 }
 
-// Known returns some of the live peers for a message: those that read the store,
-// which all gateways must agree on, and some of the others, so that calls one after
-// another go through all of them.
+// PeersForMessage returns some of the live peers for a message: the readers of the store, on which
+// all gateways must agree, and some of the others, so that successive calls go through all of them.
 func (t *PeerTable) PeersForMessage(now time.Time) []Peer {
 	ids := t.ids()
 	first, _ := slices.BinarySearch(ids, t.lastSent+"\x00")
@@ -287,6 +292,7 @@
 	return list
 }
 
+// describe returns the peer as it is reported to others.
 func (t *PeerTable) describe(now time.Time, id string) Peer {
 	peer := t.peers[id]
 	return Peer{
@@ -296,6 +302,7 @@
 	}
 }
 
+// ids returns the IDs of all peers, sorted.
 func (t *PeerTable) ids() []string {
 	ids := make([]string, 0, len(t.peers))
 	for id := range t.peers {
--- a/internal/relay/book_test.go
+++ b/internal/relay/peertable_test.go
@@ -19,7 +19,7 @@
 func TestPeersAreDiscoveredThroughSeeds(t *testing.T) {
 	is := is.New(t)
 	table := NewPeerTable(name(1), address(1), []string{address(1), address(2)})
-	is.Equal(table.DialTargets(start), []string{address(2)}) // not its own
+	is.Equal(table.DialTargets(start), []string{address(2)}) // not its own address
 	is.Equal(len(table.DialTargets(start.Add(time.Millisecond))), 0)
 	table.LinkUp(name(2))
 	table.ObserveMessage(start, Peer{ID: name(2), Address: address(2)}, []Peer{
@@ -28,7 +28,7 @@
 	})
 	is.Equal(table.DialTargets(start.Add(time.Second)), []string{address(3)})
 	is.Equal(table.LiveCount(start.Add(time.Second)), 3)
-	is.Equal(table.LiveCount(start.Add(time.Minute)), 1) // silent ones don't count
+	is.Equal(table.LiveCount(start.Add(time.Minute)), 1) // peers that went silent don't count
 }
 
 func TestOutdatedReportDoesNotReviveAPeer(t *testing.T) {
@@ -39,8 +39,8 @@
 	is.Equal(table.LiveCount(start.Add(2*time.Second)), 2)
 }
 
-// fleet returns the books of gateways that know each other; the store answers
-// those for which answered is true.
+// newFleet returns the peer tables of gateways that know each other. The store answers those for
+// which answered is true.
 func newFleet(count int, answered func(i int) bool) []*PeerTable {
 	tables := make([]*PeerTable, count)
 	for i := range tables {
@@ -76,7 +76,7 @@
 	is := is.New(t)
 	is.Equal(countReaders(newFleet(340, all), start, all), largeFleetReaders)
 	is.Equal(countReaders(newFleet(fullMeshSize, all), start, all), smallFleetReaders)
-	is.Equal(countReaders(newFleet(2, all), start, all), 2) // of a tiny fleet all
+	is.Equal(countReaders(newFleet(2, all), start, all), 2) // in a tiny fleet all gateways read
 }
 
 func TestReadersRejectedByTheStoreAreReplaced(t *testing.T) {
@@ -102,7 +102,8 @@
 	is.True(len(newFleet(340, all)[0].neighbours()) <= 9)
 }
 
-// Whatever a few gateways know reaches all over the links of a large fleet.
+// An update from any gateway reaches the whole large fleet over the links to neighbours, in few
+// steps.
 func TestNeighboursConnectTheFleet(t *testing.T) {
 	is := is.New(t)
 	tables := newFleet(200, all)
@@ -125,7 +126,8 @@
 	is.True(steps <= 8)
 }
 
-// reach follows one link, which carries news both ways.
+// followLink adds the gateway at the other end of a link, if the update is at one end. Links carry
+// updates in both directions.
 func followLink(reached map[string]bool, next []string, at, one, other string) []string {
 	for _, pair := range [][2]string{{one, other}, {other, one}} {
 		if pair[0] == at && !reached[pair[1]] {
@@ -150,8 +152,8 @@
 	})
 }
 
-// A fleet of hundreds doesn't hang on its seeds: a gateway that has its neighbours tries
-// a seed seldom, and gives up the connection to it.
+// The seeds of a fleet of hundreds don't have to serve all of it: a gateway that is connected to
+// its neighbours rarely tries a seed, and closes its connection to it.
 func TestSeedsAreDialedRarelyOnceNeighboursAreConnected(t *testing.T) {
 	is := is.New(t)
 	table := newFleet(100, all)[0]
@@ -163,7 +165,7 @@
 	}
 	table.SetSeeds([]string{table.peers[seed].address})
 	due := table.DialTargets(start)
-	is.True(slices.Contains(due, table.peers[seed].address)) // nobody is connected yet
+	is.True(slices.Contains(due, table.peers[seed].address)) // no peer is connected yet
 	is.Equal(len(table.Surplus([]string{seed})), 0)
 	for _, id := range table.neighbours() {
 		table.LinkUp(id)
@@ -176,12 +178,12 @@
 			tries++
 		}
 	}
-	is.True(tries >= 2 && tries <= 5) // fleets that came up apart still meet
+	is.True(tries >= 2 && tries <= 5) // fleets that started separately still join
 }
 
-// Every gateway of a large fleet counts nearly all others as live, from what a few
-// neighbours tell in turn: shares of budgets follow from the count, and keep four tenths
-// for errors.
+// Every gateway of a large fleet counts nearly all others as live, from what a few neighbours
+// report in turn. The gateways' shares of budgets depend on this count, and leave a margin of four
+// tenths for errors.
 func TestLargeFleetsCountLiveGateways(t *testing.T) {
 	for _, gateways := range []int{30, 150} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
@@ -217,14 +219,14 @@
 			for _, table := range tables {
 				fewest = min(fewest, table.LiveCount(now))
 			}
-			t.Logf("%d counted as live at the least", fewest)
+			t.Logf("at least %d gateways are counted as live", fewest)
 			is.True(fewest >= gateways*9/10)
 		})
 	}
 }
 
-// While the store answers nobody, a few gateways look for it at once and the rest stand by;
-// one of these that is answered reads for all.
+// While the store answers no gateway, a few gateways try it continuously and the others are
+// standbys. A standby that gets an answer becomes a reader.
 func TestOtherGatewaysStandByWhileTheStoreAnswersNone(t *testing.T) {
 	is := is.New(t)
 	none := func(int) bool { return false }
@@ -242,7 +244,7 @@
 	is.Equal(standby.Place(start, 0).Duty, gateway.Reader)
 }
 
-// Readers rank in hash order, so that each makes up for those before it.
+// Readers are ranked in hash order, so that each one can make up for those before it.
 func TestReadersAreRanked(t *testing.T) {
 	is := is.New(t)
 	ranks := map[int]int{}
--- a/internal/relay/hear.go
+++ b/internal/relay/receive.go
@@ -14,10 +14,12 @@
 )
 
 const (
-	// askAgain is how long a question for a document may go without an answer.
+	// documentRetryDelay is how long a request for a document may go without an answer before the
+	// document is requested again.
 	documentRetryDelay = 400 * time.Millisecond
 )
 
+// readLoop processes the peer's messages until the connection ends.
 func (r *Relay) readLoop(ctx context.Context, from *link) error {
 	for {
 		message, err := r.readMessage(ctx, from.socket)
@@ -43,7 +45,7 @@
 	}
 }
 
-// askFor asks the peer for back ends that it knows and this gateway doesn't.
+// requestMissing requests back ends that the peer knows and this gateway doesn't.
 func (r *Relay) requestMissing(from *link, message Message) {
 	r.mutex.Lock()
 	from.repair.receive(&r.pending, message)
@@ -61,8 +63,8 @@
 	}
 }
 
-// shouldAsk tells whether a document is newer than this gateway's, and nobody
-// was asked for it of late.
+// shouldRequestDocument reports whether the version is newer than this gateway's, and the document
+// hasn't been requested recently. If so, the request is recorded.
 func (r *Relay) shouldRequestDocument(version uint64) bool {
 	if version <= r.config.State.Version() {
 		return false
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -14,30 +14,30 @@
 	"github.com/harriernotch/harriernotch/internal/hop"
 )
 
-// Path is where a gateway takes connections of its peers.
+// Path is where a gateway accepts connections from its peers.
 const Path = "/relay"
 
-// Config sets up a Relay.
+// Config configures a Relay.
 type Config struct {
-	// ID and Address name this gateway and its listener for peers.
+	// ID is this gateway's name, and Address the address of its listener for peers.
 	ID      string
 	Address string
-	// Zone is where this gateway runs, and Capacity its share of a processor in
-	// hundredths of a core.
+	// Zone is where this gateway runs, and Capacity its share of a processor in hundredths of a
+	// core.
 	Zone     string
 	Capacity int
 	// Seeds are addresses to try first.
 	Seeds []string
-	// State has the knowledge.
+	// State holds the state that is exchanged with the peers.
 	State *gateway.State
-	// Dial opens connections; nil uses TCP.
+	// Dial opens connections; nil means TCP.
 	Dial hop.DialFunc
-	// Log and Metrics take what operators should know.
+	// Log and Metrics receive events and metrics for operators.
 	Log     *eventlog.Log
 	Metrics tally.Scope
 }
 
-// Relay runs the connections to peers.
+// Relay runs the connections to the peers.
 type Relay struct {
 	config Config
 	client *http.Client
@@ -48,16 +48,17 @@
 	mutex  sync.Mutex
 	closed bool
 	peers  *PeerTable
-	// askedVersion is the document last asked for, and askedAt when.
+	// requestedVersion is the version of the last requested document, and requestedAt the time of
+	// the request.
 	requestedVersion uint64
 	requestedAt      time.Time
-	// opened ends the connections that this gateway opened, by peer.
+	// opened are the connections that this gateway opened, by peer.
 	opened map[string]openedLink
-	// questions are those to peers for back ends.
+	// pending are the requests to peers for back ends.
 	pending pendingRequests
 }
 
-// Start begins to connect.
+// Start starts connecting to peers.
 func Start(config Config) *Relay {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Relay{
@@ -81,7 +82,7 @@
 	r.tasks.Wait()
 }
 
-// Live returns the live gateways, this one included.
+// Live returns the live gateways, including this one.
 func (r *Relay) Live() []Peer {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/relay/repair.go
+++ b/internal/relay/repair.go
@@ -7,23 +7,22 @@
 )
 
 const (
-	// mostAsked bounds the buckets of one question: a quarter of the list. An answer must
-	// pass on the smallest entry machine's link within writeTimeout, beside those to the
-	// peer's other neighbours: 750 back ends are 60 KB, and 20 compressed.
+	// maxRequestedBuckets limits the buckets of one request to a quarter of the list. The answer
+	// must cross the network link of the smallest gateway machine within writeTimeout, along with
+	// the answers to the peer's other neighbours: 750 back ends take 60 KB, or 20 KB compressed.
 	maxRequestedBuckets = catalog.DigestBuckets / 4
-	// answerTime is how long a question may go without an answer before another peer is
-	// asked.
+	// answerTimeout is how long a request may go without an answer before another peer is asked.
 	answerTimeout = time.Second
 )
 
-// questions are the buckets of back ends that peers are being asked for, so that one peer at
-// a time is asked for each.
+// pendingRequests holds when each bucket was requested from a peer, so that only one peer at a time
+// is asked for it.
 type pendingRequests struct {
 	requestedAt [catalog.DigestBuckets]time.Time
 }
 
-// take returns the first of the wanted buckets that nobody is being asked for, so many at
-// the most, and notes the question.
+// reserve returns the first of the wanted buckets that aren't being requested from any peer, up to
+// the limit, and marks them as requested.
 func (q *pendingRequests) reserve(now time.Time, wanted catalog.Buckets, limit int) catalog.Buckets {
 	var reserved catalog.Buckets
 	for bucket := range q.requestedAt {
@@ -39,7 +38,7 @@
 	return reserved
 }
 
-// answered ends the questions for the buckets.
+// complete ends the requests for the buckets.
 func (q *pendingRequests) complete(buckets catalog.Buckets) {
 	for bucket := range q.requestedAt {
 		if buckets.Has(bucket) {
@@ -48,22 +47,23 @@
 	}
 }
 
-// repair finds out what back ends the peer of one connection knows and this gateway doesn't,
-// from digests, and asks for them: whoever lacks something asks, and of one peer. So a list
-// that a gateway reads as it starts reaches the others once each, and not over each
-// connection. For each digest that the peer tells, a bucket is asked for once: where the
-// peer is the one that lacks something, its answer changes nothing, and it asks in turn.
+// repair runs anti-entropy on one connection: it compares digests to find the buckets in which the
+// peer and this gateway know different back ends, and requests them. The gateway that lacks
+// something requests it, and from one peer only. So a list that a gateway reads when it starts
+// reaches each other gateway once, and not over each connection. A bucket is requested once for
+// each digest that the peer sends: if it is the peer that lacks something, its answer changes
+// nothing, and it sends a request in turn.
 type repair struct {
-	// digest is the peer's last one, and wanted the buckets in which it differed and that
-	// the peer wasn't asked for yet.
+	// digest is the peer's last one, and unrequested are the buckets in which it differed and that
+	// haven't been requested from the peer yet.
 	digest      catalog.Digest
 	unrequested catalog.Buckets
-	// underWay are the buckets that the peer was asked for at the time askedAt.
+	// inFlight are the buckets that were requested from the peer at requestedAt.
 	inFlight    catalog.Buckets
 	requestedAt time.Time
 }
 
-// hear takes the digest and the answer of the peer's message.
+// receive processes the digest and the answer in a message from the peer.
 func (r *repair) receive(pending *pendingRequests, message Message) {
 	if message.Digest != nil {
 		r.digest, r.unrequested = message.Digest, catalog.AllBuckets
@@ -72,8 +72,8 @@
 	r.inFlight &^= message.Answered
 }
 
-// next returns the buckets to ask the peer for now, of those in which its digest differs
-// from what this gateway knows.
+// nextRequest returns the buckets to request from the peer now. differing are the buckets in which
+// its digest differs from what this gateway knows.
 func (r *repair) nextRequest(now time.Time, pending *pendingRequests, differing catalog.Buckets) catalog.Buckets {
 	r.unrequested &= differing
 	if r.inFlight != 0 && now.Sub(r.requestedAt) < answerTimeout {
--- a/internal/relay/repair_test.go
+++ b/internal/relay/repair_test.go
@@ -21,8 +21,8 @@
 	return view.Digest()
 }
 
-// One peer at a time is asked for a bucket, a part of the list with each question, and the
-// next part when the answer is there.
+// One peer at a time is asked for a bucket. Each request covers a part of the list, and the next
+// one follows when the answer has arrived.
 func TestBucketIsRequestedFromOnePeerAtATime(t *testing.T) {
 	is := is.New(t)
 	var pending pendingRequests
@@ -32,7 +32,7 @@
 	second.receive(&pending, Message{Digest: digest})
 	requested := first.nextRequest(start, &pending, catalog.AllBuckets)
 	is.Equal(bits.OnesCount64(uint64(requested)), maxRequestedBuckets)
-	is.Equal(first.nextRequest(start, &pending, catalog.AllBuckets), catalog.Buckets(0)) // its answer isn't there
+	is.Equal(first.nextRequest(start, &pending, catalog.AllBuckets), catalog.Buckets(0)) // the answer hasn't arrived
 	other := second.nextRequest(start, &pending, catalog.AllBuckets)
 	is.Equal(bits.OnesCount64(uint64(other)), maxRequestedBuckets)
 	is.Equal(requested&other, catalog.Buckets(0))
@@ -52,21 +52,20 @@
 	is.Equal(first.nextRequest(start, &pending, missing), missing)
 	is.Equal(second.nextRequest(start, &pending, missing), catalog.Buckets(0))
 	is.Equal(second.nextRequest(start.Add(answerTimeout), &pending, missing), missing)
-	is.Equal(first.nextRequest(start.Add(3*answerTimeout), &pending, missing), catalog.Buckets(0)) // once for each digest
+	is.Equal(first.nextRequest(start.Add(3*answerTimeout), &pending, missing), catalog.Buckets(0)) // requested once for each digest
 }
 
 func TestNothingIsRequestedWithoutADifference(t *testing.T) {
 	is := is.New(t)
 	var pending pendingRequests
 	var peer repair
-	is.Equal(peer.nextRequest(start, &pending, catalog.AllBuckets), catalog.Buckets(0)) // it told no digest
+	is.Equal(peer.nextRequest(start, &pending, catalog.AllBuckets), catalog.Buckets(0)) // no digest received
 	peer.receive(&pending, Message{Digest: digestOf("b1")})
 	is.Equal(peer.nextRequest(start, &pending, 0), catalog.Buckets(0))
-	is.Equal(peer.nextRequest(start, &pending, catalog.AllBuckets), catalog.Buckets(0)) // settled for that digest
+	is.Equal(peer.nextRequest(start, &pending, catalog.AllBuckets), catalog.Buckets(0)) // no difference is left for that digest
 }
 
-// Whatever parts of a list gateways know that are connected in a chain, and whichever of
-// them is heard first, all end with the whole list.
+// Gateways that are connected in a chain and know any parts of a list all end with the whole list.
 func TestRepairConvergesAlongAChain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const gateways, backEnds = 5, 200
@@ -75,7 +74,7 @@
 			views[i] = catalog.NewView()
 			views[i].OfferEntries(entriesFrom(rapid.IntRange(0, backEnds-1).Draw(t, "from"), rapid.IntRange(0, backEnds).Draw(t, "to")))
 		}
-		for range gateways { // as many steps as the chain is long
+		for range gateways { // as many rounds as the chain has gateways
 			for i := range gateways - 1 {
 				repairFrom(views[i], views[i+1])
 				repairFrom(views[i+1], views[i])
@@ -97,7 +96,8 @@
 	return entries
 }
 
-// exchange lets a gateway ask the teller until nothing is left to ask.
+// repairFrom lets a gateway request back ends from the responder until there is nothing left to
+// request.
 func repairFrom(requester, responder *catalog.View) {
 	var pending pendingRequests
 	var peer repair
--- a/internal/relay/tell.go
+++ b/internal/relay/send.go
@@ -13,31 +13,33 @@
 )
 
 const (
-	// longestGather bounds the wait for further changes before one is told. News
-	// crosses a fleet of 340 in some five steps, so that is a quarter of a second on
-	// top of the way itself.
+	// maxBatchDelay limits the wait for further changes before a change is sent. An update crosses
+	// a fleet of 340 gateways in about five steps, so the waits add about a quarter of a second to
+	// the time that it takes anyway.
 	maxBatchDelay = 100 * time.Millisecond
-	// digestPeriod is the least time between two digests on a connection of a large
-	// fleet: while thousands of back ends register, each of up to 74 connections would
-	// carry ten digests of 320 bytes a second.
+	// minDigestInterval is the minimum time between two digests on a connection of a large fleet.
+	// Without it, while thousands of back ends register, each of up to 74 connections would carry
+	// ten digests of 320 bytes per second.
 	minDigestInterval = 250 * time.Millisecond
 )
 
-// conversation is what the peer of one connection was told.
+// sendState is what has been sent to the peer of one connection.
 type sendState struct {
+	// cursors are the positions up to which the peer has been sent the state.
 	cursors gateway.Cursors
-	// peersAt is when it was last told of other peers, and digestAt when a digest;
-	// digestWaits is set while another one waits for its time.
+	// peersSentAt is when peers were last sent, and digestSentAt when a digest was. digestDeferred
+	// is set while another digest has to wait for minDigestInterval.
 	peersSentAt    time.Time
 	digestSentAt   time.Time
 	digestDeferred bool
-	// holdings bounds the holdings that it is told.
+	// holdings limits the holdings that are sent.
 	holdings holdingsBudget
-	// last is the last message.
+	// lastMessage is the last message that was sent.
 	lastMessage Message
 }
 
-// write tells the peer what it lacks, at once after a change and every period.
+// writeLoop sends the peer the state that it lacks, after each change and otherwise after the time
+// that delayAfter returns.
 func (r *Relay) writeLoop(ctx context.Context, to *link) {
 	timer := time.NewTimer(period)
 	defer timer.Stop()
@@ -60,7 +62,8 @@
 	}
 }
 
-// nextMessage returns what the peer lacks now, and what tells of the next change.
+// nextMessage returns a message with the state that the peer lacks now, and a channel that is
+// closed at the next change.
 func (r *Relay) nextMessage(to *link, state *sendState) (message Message, changed <-chan struct{}) {
 	gateways := r.config.State.Place().Gateways
 	now := r.config.State.Clock().Now()
@@ -85,7 +88,8 @@
 	return message, update.Changed
 }
 
-// holdDigest takes a digest out of the news that follows too soon on the one before.
+// deferDigest removes the digest from the update if, in a large fleet, the previous one was sent
+// less than minDigestInterval ago.
 func (r *Relay) deferDigest(update *gateway.Update, state *sendState) {
 	state.digestDeferred = false
 	if update.Digest == nil {
@@ -100,7 +104,7 @@
 	state.digestSentAt = r.config.State.Clock().Now()
 }
 
-// pauseAfter returns the longest time from one message to the next.
+// delayAfter returns the maximum time from the message to the next one.
 func (r *Relay) delayAfter(message Message, state *sendState) time.Duration {
 	gateways := r.config.State.Place().Gateways
 	delay := periodFor(gateways)
@@ -113,8 +117,7 @@
 	return delay
 }
 
-// answer adds what the peer lacks of the buckets that it asked for, if this gateway has a
-// list.
+// addAnswer adds what the peer lacks of the buckets that it requested, if this gateway has a list.
 func (r *Relay) addAnswer(message *Message, request bucketRequest) {
 	if request.buckets == 0 {
 		return
@@ -126,8 +129,8 @@
 	}
 }
 
-// gather waits for more changes to tell with the one at hand, and for the peer to tell
-// it itself. In a small fleet a change is told at once.
+// batchChanges waits for more changes to send with the current one, and for the peer to send the
+// same changes itself. In a small fleet a change is sent immediately.
 func (r *Relay) batchChanges(ctx context.Context) {
 	if gateways := r.config.State.Place().Gateways; !IsLarge(gateways) {
 		return
--- a/internal/relay/topology.go
+++ b/internal/relay/topology.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// redialPause is the time between two tries at the same address.
+	// redialInterval is the minimum time between two attempts to connect to the same address.
 	redialInterval = 700 * time.Millisecond
-	// seedPause is the time between two tries at the seeds of a gateway that has its
-	// neighbours, and seedPausePerPeer how much longer it is for each gateway known.
-	// The tries join fleets that came up apart; more of them load the seeds.
+	// seedInterval is the time between two attempts to connect to the seeds while the gateway is
+	// connected to its neighbours, and seedIntervalPerPeer how much longer it is for each known
+	// gateway. The attempts join fleets that started separately; more frequent ones would load the
+	// seeds.
 	seedInterval        = 5 * time.Second
 	seedIntervalPerPeer = 100 * time.Millisecond
 )
 
-// Dial returns the addresses to connect to now.
+// DialTargets returns the addresses to connect to now.
 func (t *PeerTable) DialTargets(now time.Time) []string {
 	t.forget(now)
 	var wanted []string
@@ -43,7 +44,7 @@
 	return due
 }
 
-// areFew tells whether fewer than half of the neighbours are connected.
+// lacksNeighbours reports whether none or fewer than half of the neighbours are connected.
 func (t *PeerTable) lacksNeighbours(neighbours []string) bool {
 	linked := 0
 	for _, id := range neighbours {
@@ -54,8 +55,8 @@
 	return linked == 0 || 2*linked < len(neighbours)
 }
 
-// Surplus returns the peers to which a connection is needed no more: they are seeds and no
-// neighbours, and the neighbours are there.
+// Surplus returns those of the candidates to which a connection isn't needed any more, such as
+// seeds: they aren't neighbours, and enough neighbours are connected.
 func (t *PeerTable) Surplus(candidates []string) []string {
 	neighbours := t.neighbours()
 	if len(candidates) == 0 || t.lacksNeighbours(neighbours) {
@@ -64,7 +65,8 @@
 	return slices.DeleteFunc(candidates, func(peer string) bool { return slices.Contains(neighbours, peer) })
 }
 
-// unmetSeeds returns the seeds that no linked peer has as its address.
+// unconnectedSeeds returns the seeds that aren't the address of a connected peer or of this
+// gateway.
 func (t *PeerTable) unconnectedSeeds() []string {
 	linked := map[string]bool{t.address: true}
 	for _, peer := range t.peers {
@@ -81,10 +83,9 @@
 	return unconnected
 }
 
-// neighbours returns the peers to be connected to: all of a few; of many those
-// at distances 1, 2, 4, ... on a ring in hash order. So news reaches every
-// gateway in a logarithmic number of steps, and a gateway's cost grows as
-// slowly.
+// neighbours returns the peers to be connected to. In a small fleet these are all of them; in a
+// larger one, those at distances 1, 2, 4, ... on a ring in hash order. So an update reaches every
+// gateway in a logarithmic number of steps, and the cost per gateway grows just as slowly.
 func (t *PeerTable) neighbours() []string {
 	peers := t.ids()
 	if len(peers) < fullMeshSize {
@@ -96,14 +97,14 @@
 	return t.ring.neighbours
 }
 
-// ring is a list of peers and those that a gateway is connected to among them: the list
-// seldom changes, and is looked at several times a second.
+// ring caches the neighbours that follow from a list of peers: the list rarely changes, but the
+// neighbours are needed several times per second.
 type ring struct {
 	peers      []string
 	neighbours []string
 }
 
-// chordsOf returns the ring of the gateway and the peers.
+// newRing returns the ring of the gateway and its peers.
 func newRing(id string, peers []string) ring {
 	type point struct {
 		id   string
@@ -122,11 +123,12 @@
 	return r
 }
 
-// IsLarge tells whether a fleet has so many gateways that not all are connected.
+// IsLarge reports whether a fleet has so many gateways that they aren't all connected to each
+// other.
 func IsLarge(gateways int) bool { return gateways > fullMeshSize }
 
-// linksIn returns the number of connections that a gateway has in a fleet of so many:
-// those that it opens, and as many that others open to it.
+// linkCount returns the number of connections of a gateway in a fleet of the given number of
+// gateways: those that it opens, and in a large fleet as many that others open to it.
 func linkCount(gateways int) int {
 	if gateways <= fullMeshSize {
 		return gateways - 1
@@ -134,6 +136,7 @@
 	return 2 * bits.Len(uint(gateways-1))
 }
 
+// forget removes unconnected peers that haven't been seen for forgetTimeout.
 func (t *PeerTable) forget(now time.Time) {
 	for id, peer := range t.peers {
 		if peer.links <= 0 && now.Sub(peer.lastSeenAt) > forgetTimeout {
--- a/internal/relay/traffic_test.go
+++ b/internal/relay/traffic_test.go
@@ -10,8 +10,9 @@
 	"github.com/harriernotch/harriernotch/internal/dispatch"
 )
 
-// The size that decides the design: what a gateway sends its neighbours while
-// nothing changes, at 340 gateways and 4,300 requests a second of about 1.2 s.
+// The traffic that a gateway sends to its neighbours while nothing changes stays within its limit
+// at the target size, which decides the design: 340 gateways and 4,300 requests per second of about
+// 1.2 s.
 func TestTrafficAtTargetFleetSize(t *testing.T) {
 	is := is.New(t)
 	const gateways = 340
@@ -30,10 +31,10 @@
 	message.Peers = table.PeersForMessage(start)
 	withPeers, err := cbor.Marshal(message)
 	is.NoErr(err)
-	links := 2 * len(table.neighbours()) // as many neighbours choose this gateway
+	links := 2 * len(table.neighbours()) // as many gateways have this one as a neighbour
 	messages := float64(time.Second / periodFor(gateways))
 	sent := float64(links) * (float64(len(plain))*(messages-1) + float64(len(withPeers)))
-	t.Logf("%d links, %d and %d bytes a message, %.1f KB/s sent", links, len(plain), len(withPeers), sent/1000)
+	t.Logf("%d links, %d bytes per message and %d with peers, %.1f KB/s sent", links, len(plain), len(withPeers), sent/1000)
 	is.True(sent < 16_000)
 }
 
