--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -244,7 +244,7 @@
 	is.Equal(startedOrder(g, 4), []RequestID{1, 4, 2, 3})
 }
 
-func TestSurgingTenantDisplacesOnlyItself(t *testing.T) {
+func TestFullQueueRefusesTenantWithLargestShare(t *testing.T) {
 	is := is.New(t)
 	g := fullGate(t,
 		fromTenant(1, "large", Interactive), fromTenant(2, "large", Interactive),
--- a/internal/admission/keys_test.go
+++ b/internal/admission/keys_test.go
@@ -65,7 +65,7 @@
 	is.Equal(kindOf(arrive(g, now, keyed(2, "k", now))), failure.OutcomeUnknown)
 }
 
-func TestKeysIssuedBeforeStartHaveUnknownOutcome(t *testing.T) {
+func TestKeyIssuedTooEarlyOrInFutureIsRefused(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(testConfig(), testKeyTable())
 	now := start.Add(10 * time.Second)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -79,7 +79,7 @@
 		Remaining:   h.clock().Until(c.deadline),
 		BackEnd:     send.BackEnd.ID,
 		Tenant:      c.tenant,
-		Urgency:     h.engineRank(c),
+		Urgency:     h.forwardedUrgency(c),
 		FetchFrom:   send.FetchFrom,
 		ResumeAfter: resumeAfter,
 	})
@@ -90,12 +90,12 @@
 }
 
 // defaultRank is the rank that back ends assume for requests without one.
-const defaultRank = 5
+const defaultUrgency = 5
 
 // engineRank returns the urgency that is sent to back ends.
-func (h *Handler) engineRank(c *call) int {
+func (h *Handler) forwardedUrgency(c *call) int {
 	if h.config.Disabled[dispatch.EnginePriority] {
-		return defaultRank
+		return defaultUrgency
 	}
 	return c.urgency
 }
@@ -129,9 +129,9 @@
 func (h *Handler) checkAnswer(c *call, send dispatch.Send, response *http.Response) outcome {
 	facts := h.config.Dialect.ReadAnswer(response.StatusCode, response.Header)
 	foreign := facts.ID != c.facts.ID && (facts.ID != "" || !facts.NotRun)
-	unsigned := !facts.Signed || promisesNotRun(response.StatusCode)
+	untrusted := !facts.Stamped || promisesNotRun(response.StatusCode)
 	if h.config.Disabled[dispatch.VerifyAnswers] {
-		foreign, unsigned = false, false
+		foreign, untrusted = false, false
 	}
 	if !foreign && !facts.Misdirected {
 		h.applyNotice(c, send, response.StatusCode, facts)
@@ -145,7 +145,7 @@
 		return h.rejectAnswer(c, send, response, "another back end has the address", (*dispatch.Core).Misdirected)
 	case facts.NotRun:
 		return h.rejectAnswer(c, send, response, "the back end refused", (*dispatch.Core).Refused)
-	case unsigned:
+	case untrusted:
 		return h.unusable(c, send, response, "the answer lacks the back end's signature")
 	}
 	result := outcome{answer: response, facts: facts}
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -56,7 +56,7 @@
 	// ID is the ID of the request that is answered.
 	ID string
 	// Signed is true if the answer carries the back end's signature.
-	Signed bool
+	Stamped bool
 	// NotRun is true if the back end promises that it did not run the request.
 	NotRun bool
 	// Misdirected is true if the address now belongs to another back end.
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -161,14 +161,14 @@
 // routeRanks is the number of ranks for routes within each tenant priority. lastRank is the
 // rank of the least urgent requests.
 const (
-	routeRanks = 3
-	lastRank   = 9
+	routeRanks    = 3
+	lowestUrgency = 9
 )
 
 // urgency ranks a request by its tenant first and then by its route.
 func urgency(tenantPriority, routePriority int) int {
 	rank := tenantPriority*routeRanks + min(routePriority, routeRanks-1)
-	return max(0, min(rank, lastRank))
+	return max(0, min(rank, lowestUrgency))
 }
 
 func shortestTimeout(times ...time.Duration) time.Duration {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -106,11 +106,11 @@
 			Unusable: service.Unusable, InFlight: service.InFlight,
 		})
 	}
-	for _, belief := range s.core.BackEndStatuses(now) {
+	for _, each := range s.core.BackEndStatuses(now) {
 		status.BackEnds = append(status.BackEnds, BackEndStatus{
-			ID: belief.BackEnd.ID, Service: belief.BackEnd.Service, Address: belief.BackEnd.Address,
-			Zone: belief.BackEnd.Zone, Leaving: belief.BackEnd.Leaving, Version: belief.BackEnd.Version, Health: belief.Health.String(),
-			Evacuated: belief.Evacuated, WarmsUp: belief.WarmsUp, Own: belief.Own, Estimate: belief.Estimate,
+			ID: each.BackEnd.ID, Service: each.BackEnd.Service, Address: each.BackEnd.Address,
+			Zone: each.BackEnd.Zone, Leaving: each.BackEnd.Leaving, Version: each.BackEnd.Version, Health: each.Health.String(),
+			Evacuated: each.Evacuated, WarmsUp: each.WarmsUp, Own: each.Own, Estimate: each.Estimate,
 		})
 	}
 	return status
