--- a/internal/admission/bound.go
+++ b/internal/admission/bound.go
@@ -15,8 +15,8 @@
 	RoundDown bool
 	// Window is the age up to which an observed load counts fully.
 	Window time.Duration
-	// Disabled admits every request. It is set only by baselines, and by tests that
-	// verify that the checkers detect a broken bound.
+	// Disabled admits every request. Only baselines and tests set it, for example tests
+	// which verify that the checks detect a broken bound.
 	Disabled bool
 }
 
@@ -41,14 +41,14 @@
 // LimitFor returns the bound for a member with a load of own requests, given the
 // observed loads of the others. The request to be admitted counts towards the mean,
 // as in consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam,
-// 2018), so a member of an empty pool admits it, and a sole member always does.
+// 2018), so a member of an idle pool admits it, and a sole member always does.
 //
 // evidence holds the loads that were reported by the members that refused this
-// request; they replace the observed loads of those members. They are milliseconds
-// old, while the observed loads may lag behind a surge: without the evidence, a
-// pool whose mean rises quickly would refuse work that it has room for. The mean of
-// the evidence alone would be a biased estimate, because members that refuse are the
-// loaded ones.
+// request; they replace older observed loads of those members. They are usually
+// milliseconds old, while the observed loads may lag behind a surge: without the
+// evidence, a pool whose mean rises quickly would refuse work that it has room for.
+// The mean of the evidence alone would be a biased estimate, because members that
+// refuse are the loaded ones.
 func (p BoundPolicy) LimitFor(now time.Time, own int, others, evidence []ObservedLoad, service time.Duration) Limit {
 	if p.Disabled {
 		return Limit{Max: math.MaxInt32}
@@ -61,12 +61,13 @@
 	return Limit{Max: p.round(mean), Mean: mean}
 }
 
-// sufficientEvidence is the number of refusals after which the estimate is no longer
-// lowered by the margin. A permanent margin could make every member of an evenly
-// loaded pool refuse, and the pool would then stay in that state.
+// sufficientEvidence is the number of loads in the evidence from which the estimate is
+// no longer lowered by the margin; in a pool with fewer other members, the loads of all
+// of them suffice. A permanent margin could make every member of an evenly loaded pool
+// refuse, and the pool would then stay in that state.
 const sufficientEvidence = 4
 
-// withEvidence returns others with newer loads from the evidence substituted.
+// withEvidence returns others with the newer loads from the evidence in place of theirs.
 func withEvidence(others, evidence []ObservedLoad) []ObservedLoad {
 	if len(evidence) == 0 {
 		return others
@@ -104,11 +105,12 @@
 // margin returns how far the true mean may be below the estimate. If requests arrive
 // at random and take about service each, a member's load changes over an age with
 // the variance 2·load·(1-exp(-age/service)): proportional to the age while that is
-// short, and bounded by the difference of two independent loads. The variances of
-// all members add up. Loads are whole numbers, so the sum is rounded up, unless even
-// the end of a single request is less likely than the probability that the
-// confidence leaves: in a small pool, a fraction of a request would cover no change
-// at all.
+// short, and bounded by the difference of two independent loads. A load of 0 counts
+// as 1. The variances of all members add up, and the margin of the pool's total load
+// is confidence times the standard deviation. Loads are whole numbers, so this margin
+// is rounded up: in a small pool, a fraction of a request would cover no change at
+// all. It isn't rounded up if even the end of a single request is less likely than
+// an error that the confidence permits.
 func (p BoundPolicy) margin(now time.Time, others []ObservedLoad, service time.Duration) float64 {
 	variance := 0.0
 	for _, other := range others {
@@ -141,10 +143,11 @@
 }
 
 // mean estimates the pool's mean load, including the new request. A load that was
-// measured before the window may only lower the estimate: the pool may have emptied
-// since, and a mean that is too high is what violates the bound. The member's own
-// load is left out of that comparison, because it is members with a high load that
-// ask.
+// measured before the window counts as at most the mean of the loads measured within
+// it: the pool may have emptied since, and a mean that is too high is what violates
+// the bound. The member's own load is left out of that mean, because it is members
+// with a high load that ask. If no load was measured within the window, all count
+// fully.
 func (p BoundPolicy) mean(now time.Time, own int, others []ObservedLoad) float64 {
 	fresh, freshTotal := 0, 0
 	for _, other := range others {
--- a/internal/admission/bound_test.go
+++ b/internal/admission/bound_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Whatever the loads are, the least loaded member admits a request if it knows all
-// loads, so a pool never refuses on all members.
+// For any loads, the least loaded member admits a request if it knows all loads, so a
+// pool whose members know all loads never refuses a request on all of them.
 func TestLeastLoadedMemberAlwaysAdmits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		loads := rapid.SliceOfN(rapid.IntRange(0, 60), 1, 30).Draw(t, "loads")
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -87,7 +87,8 @@
 	Limit int
 }
 
-// Refuse replies that the request was not run here.
+// Refuse replies that the gate did not start this request. An earlier request with the
+// same key may have run; Kind says so.
 type Refuse struct {
 	ID RequestID
 	// Kind is the reason.
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -23,9 +23,9 @@
 	// because no other back end may run it. LastAttemptWait is the same for a request
 	// whose router will try no other back end. When the pool's mean load rises, the
 	// bound rises only as updates of the mean arrive, over several windows; a caller
-	// that is refused meanwhile comes back to the same wait. Higher values refuse
-	// fewer requests while a pool fills up, and hold requests longer that are refused
-	// in the end.
+	// that is refused before then comes back and waits for the same updates. Higher
+	// values refuse fewer requests while a pool fills up, but delay the refusal of
+	// those that never get room.
 	OwnerWait       time.Duration
 	LastAttemptWait time.Duration
 	// MaxRunning is the number of requests that may run at a time.
@@ -146,8 +146,8 @@
 	return []Action{g.refuseReleasing(request, failure.OverBound, g.expectedFinish())}
 }
 
-// checkKey replies to requests with a key that must not run. If settled is false,
-// the request may proceed, and its key has been recorded.
+// checkKey returns the reply to a request that must not run because of its key. If
+// settled is false, the request may proceed, and its key has been recorded.
 func (g *Gate) checkKey(now time.Time, request Request) (action Action, settled bool) {
 	verdict, outcome := g.keys.begin(now, *request.Key)
 	switch verdict {
@@ -179,7 +179,9 @@
 	return g.meanServiceTime
 }
 
-// accept admits the request under the bound: it is started or queued.
+// accept starts or queues a request that fits under the bound. It refuses the request
+// if it couldn't start before its deadline, or if the queue is full and no queued
+// request is displaced for it.
 func (g *Gate) accept(now time.Time, request Request, limit int) []Action {
 	if g.running < g.config.MaxRunning {
 		g.accepted[request.ID] = &acceptedRequest{request: request, limit: limit}
@@ -278,8 +280,8 @@
 }
 
 // leave closes the gate permanently. Accepted requests are finished. Requests that
-// only wait for room under the bound are refused, since another back end can still
-// run them.
+// only wait for room under the bound are refused: they have not run, so they can be
+// sent to another back end.
 func (g *Gate) leave() []Action {
 	if g.leaving {
 		return nil
@@ -289,8 +291,9 @@
 }
 
 // backOff refuses all requests that have not started, including queued ones: they
-// would reach the back end within the time it asked for, and another back end can
-// still run them. Running requests are finished.
+// could reach the back end while it wants none, and, as they have not run, they can
+// be sent again, to another back end if they have no key. Running requests are
+// finished.
 func (g *Gate) backOff(now time.Time, wait time.Duration) []Action {
 	if until := now.Add(wait); until.After(g.backOffUntil) {
 		g.backOffUntil = until
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -67,10 +67,10 @@
 	return nil
 }
 
-// The test drives a gate with random events. After each event it checks that every
-// request gets exactly one reply, that the load stays under the bound at every
-// admission, and that the numbers of running and queued requests stay within their
-// limits.
+// The test drives a gate with random events. After each event it checks that no request
+// has got two replies, and that the numbers of running and queued requests are within
+// their limits. An arriving request must not be accepted over the bound or during a
+// back-off, and none may wait once a back-off has begun.
 func TestGateInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := testConfig()
--- a/internal/admission/keys.go
+++ b/internal/admission/keys.go
@@ -46,7 +46,7 @@
 	ClockError time.Duration
 	// Retention is how long an outcome is kept.
 	Retention time.Duration
-	// Capacity is the maximum number of keys in the table.
+	// Capacity is the number of keys above which the oldest finished ones are removed.
 	Capacity int
 	// MaxReplyBytes bounds the memory of all stored replies. The oldest replies are
 	// dropped first; the table still records that their keys ran.
@@ -59,16 +59,19 @@
 // keyTable makes every key run at most once on this agent.
 //
 // The table is not persistent, so it can't know what ran before the agent started.
-// Instead it relies on the time of issue: a key is accepted only if it was issued
-// after the start by more than the clocks can differ. A key that an earlier
-// incarnation accepted at a time A was issued no later than A plus the clock error,
-// because later keys are refused as dated in the future, and A is before the start.
-// Adding a second clock error, for a machine whose clock was changed in between, no
-// key can be accepted by both incarnations.
+// Instead it relies on the time of issue: it accepts a key only if that was issued
+// more than two clock errors after the start. An earlier incarnation accepted keys
+// only before this start, and refused those issued more than one clock error after
+// its own time as dated in the future. So every key that it accepted was issued at
+// most one clock error after this start. The second clock error covers a machine whose
+// clock was changed in between. No key can be accepted by both incarnations.
 type keyTable struct {
-	config        KeyTableConfig
-	entries       map[string]*keyEntry
-	order         *list.List
+	config  KeyTableConfig
+	entries map[string]*keyEntry
+	// order holds the entries in the order in which they were added.
+	order *list.List
+	// forgottenUpTo is the latest time of issue of which the table doesn't know whether
+	// the key ran: only keys issued later are accepted.
 	forgottenUpTo time.Time
 	// replyBytes is the memory of the stored replies.
 	replyBytes int
@@ -157,9 +160,10 @@
 	}
 }
 
-// expire removes keys that are older than the retention or exceed the capacity.
-// forgottenUpTo then covers every removed key: keys issued up to that time are no
-// longer accepted. The key of a running request is never removed.
+// expire removes keys, in the order in which they were added, while they are older than
+// the retention or the table exceeds its capacity. The key of a request that has not
+// finished is never removed. forgottenUpTo then covers every removed key: keys issued
+// up to that time are no longer accepted.
 func (t *keyTable) expire(now time.Time) {
 	for element := t.order.Front(); element != nil; {
 		entry, ok := element.Value.(*keyEntry)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -21,7 +21,7 @@
 // one in batchInterval starts is a batch request.
 const batchInterval = 8
 
-// queued is a waiting request with its position in the fair order.
+// queued is an accepted request in the queue, with its position in the fair order.
 type queued struct {
 	request  Request
 	finish   float64
@@ -29,8 +29,10 @@
 }
 
 // fairQueue orders accepted requests: interactive before batch, and within a class
-// weighted-fair across tenants by start-time fair queueing (Goyal, Vin and Cheng,
-// 1996). The requests of one tenant stay in order of arrival.
+// weighted-fair across tenants by self-clocked fair queueing (Golestani, 1994):
+// requests start in the order of their finish times in virtual time, and the virtual
+// time of a class is the finish time of its request that started last. The requests
+// of one tenant stay in order of arrival.
 type fairQueue struct {
 	classes     [priorityCount][]queued
 	virtualTime [priorityCount]float64
@@ -130,10 +132,11 @@
 }
 
 // displace makes room for an arriving request in a full queue. It removes the last
-// request of the tenant with the largest share of the queue relative to its weight,
-// in the lowest class that isn't above the class of the arriving request. A tenant
-// that surges therefore displaces its own requests, and never those of a tenant with
-// a smaller share.
+// request of the tenant with the largest share of a class relative to its weight. It
+// tries the lowest class first, and no class above that of the arriving request. In
+// the arriving request's own class, a request is removed only if its tenant's share
+// exceeds that of the arriving request's tenant. A tenant that surges therefore can't
+// displace the requests of tenants with smaller shares of its class.
 func (q *fairQueue) displace(arriving Request) (Request, bool) {
 	for class := priorityCount; class > 0; class-- {
 		low := class - 1
@@ -148,9 +151,8 @@
 }
 
 // lastOfLargestShare returns the last request of the tenant with the largest share
-// of the class, if that share exceeds what the arriving tenant's share would become.
-// In a class below that of the arriving request, any tenant's last request may be
-// chosen.
+// of the class. In the class of the arriving request, that share must exceed the share
+// that the arriving request's tenant would have if its request were queued.
 func (q *fairQueue) lastOfLargestShare(class Priority, arriving Request) (RequestID, bool) {
 	counts := map[string]int{}
 	for _, entry := range q.classes[class] {
@@ -162,8 +164,8 @@
 		largest = float64(counts[arriving.Tenant]+1) / q.weight(arriving.Tenant)
 	}
 	found := false
-	// Iterating over the entries, not over the map, makes the choice deterministic. The
-	// last entry of the tenant with the largest share wins.
+	// Iterating over the entries, not over the map, makes the choice deterministic. Among
+	// the entries of all tenants with the largest share, the last one is chosen.
 	for _, entry := range q.classes[class] {
 		tenant := entry.request.Tenant
 		share := float64(counts[tenant]) / q.weight(tenant)
--- a/internal/admission/timing.go
+++ b/internal/admission/timing.go
@@ -6,8 +6,8 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// tick admits waiters, and refuses requests that have waited too long or can no
-// longer be started before their deadline.
+// tick admits waiters that now fit under the bound. It refuses waiters that have waited
+// too long, and queued requests that can no longer be started before their deadline.
 func (g *Gate) tick(now time.Time) []Action {
 	actions := g.admitWaiters(now)
 	var remaining []waiter
--- a/internal/admission/waiters.go
+++ b/internal/admission/waiters.go
@@ -13,9 +13,11 @@
 	until   time.Time
 }
 
-// maxWaiters limits the number of waiters.
+// maxWaiters limits the waiters of a gate; further requests over the bound are refused at
+// once.
 const maxWaiters = 256
 
+// boundWait returns how long the request may wait for room under the bound.
 func (g *Gate) boundWait(request Request) time.Duration {
 	if request.Key != nil {
 		return g.config.OwnerWait
@@ -41,7 +43,7 @@
 	return nil
 }
 
-// admitWaiters accepts waiters that now fit under the bound.
+// admitWaiters calls accept for the waiters that now fit under the bound.
 func (g *Gate) admitWaiters(now time.Time) []Action {
 	var actions []Action
 	var remaining []waiter
@@ -57,7 +59,7 @@
 	return actions
 }
 
-// refuseWaiters refuses all waiters; other back ends can still run them.
+// refuseWaiters refuses all waiters. They have not run, so they can be sent again.
 func (g *Gate) refuseWaiters(kind failure.Kind, wait time.Duration) []Action {
 	var actions []Action
 	for _, waiting := range g.waiters {
--- a/internal/draining/draining.go
+++ b/internal/draining/draining.go
@@ -130,7 +130,7 @@
 	closing   chan struct{}
 	closeOnce sync.Once
 	drainOnce sync.Once
-	// backlog holds the connections that were not accepted before Close.
+	// mutex guards backlog, the connections that were not accepted before Close.
 	mutex   sync.Mutex
 	backlog []net.Conn
 }
@@ -214,8 +214,8 @@
 	return count, err
 }
 
-// Close implements net.Conn. It does nothing if a request is waiting on the
-// connection: the server is about to read it.
+// Close implements net.Conn. It does nothing if a request is waiting on the connection;
+// see deferClose.
 func (c *trackedConn) Close() error {
 	if c.connections.deferClose(c) {
 		return nil
--- a/internal/draining/draining_test.go
+++ b/internal/draining/draining_test.go
@@ -84,7 +84,7 @@
 	is.NoErr(connections.Shutdown(context.Background(), &http.Server{}))
 }
 
-// A connection that the server closes while it is active is closed, even if unread
+// Closing is deferred only for idle connections: an active one is closed even if unread
 // bytes are waiting.
 func TestActiveConnectionIsClosed(t *testing.T) {
 	is := is.New(t)
@@ -150,7 +150,7 @@
 	is.True(err != nil)
 }
 
-// The server is stopped before it has accepted the connection of a request.
+// The listener is closed before the server has accepted the connection of a request.
 func TestServerAnswersBackloggedRequestAfterClose(t *testing.T) {
 	is := is.New(t)
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -24,7 +24,7 @@
 		hop.CopyEndToEnd(c.writer.Header(), result.answer.Header)
 		c.writer.Header().Set("Content-Length", strconv.Itoa(len(result.body)))
 		c.writer.WriteHeader(result.answer.StatusCode)
-		// A write error means that the caller has left: nobody is there to notify.
+		// A write error means that the caller has left, so there is nobody to send an error to.
 		_, _ = c.writer.Write(result.body)
 		h.completed(c)
 		h.logDone(c, result, 0)
@@ -88,7 +88,8 @@
 	minSilence    = time.Second
 )
 
-// copyEvents passes complete events on until the stream ends.
+// copyEvents passes complete events on until the stream ends. A stream that ends before its
+// first event has broken off.
 func (h *Handler) copyEvents(c *call, s *stream, result outcome) error {
 	silence := h.watchSilence(c, result)
 	defer silence.stop()
@@ -169,6 +170,8 @@
 	t.cancel()
 }
 
+// watchSilence returns the silence timer of a stream. It is started only if the stream can
+// still be resumed at another back end.
 func (h *Handler) watchSilence(c *call, result outcome) *silenceTimer {
 	silence := &silenceTimer{
 		limit: max(minSilence, silenceFactor*c.route.PauseObjective),
@@ -180,7 +183,7 @@
 	return silence
 }
 
-// start starts the timer.
+// start starts the timer. Its function waits until t.timer is set, because it may reset it.
 func (t *silenceTimer) start() {
 	started := make(chan struct{})
 	t.timer = time.AfterFunc(t.limit, func() { <-started; t.fire() })
@@ -225,8 +228,9 @@
 	return outcome{}, false
 }
 
-// cut ends an answer that can't be completed. If none of it was sent, the caller gets an
-// error; otherwise cut closes the caller's connection by a panic and doesn't return.
+// cut ends an answer that can't be completed. If none of it was sent and the caller is still
+// there, the caller gets an error; otherwise cut closes the caller's connection by a panic and
+// doesn't return.
 func (h *Handler) cut(c *call, result outcome, s *stream, cause error) {
 	h.logCut(c, result, s.events, cause)
 	if c.request.Context().Err() == nil {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -89,10 +89,10 @@
 	return h.config.Fresh.RoundTrip(request)
 }
 
-// defaultRank is the rank that back ends assume for requests without one.
+// defaultUrgency is the urgency that back ends assume for requests without one.
 const defaultUrgency = 5
 
-// engineRank returns the urgency that is sent to back ends.
+// forwardedUrgency returns the urgency that is sent to back ends.
 func (h *Handler) forwardedUrgency(c *call) int {
 	if h.config.Disabled[dispatch.EnginePriority] {
 		return defaultUrgency
@@ -146,7 +146,7 @@
 	case facts.NotRun:
 		return h.rejectAnswer(c, send, response, "the back end refused", (*dispatch.Core).Refused)
 	case untrusted:
-		return h.unusable(c, send, response, "the answer lacks the back end's signature")
+		return h.unusable(c, send, response, "the answer lacks a back end's stamp, or its status promises that the request was not run")
 	}
 	result := outcome{answer: response, facts: facts}
 	if !c.route.Stream || response.StatusCode >= http.StatusMultipleChoices {
@@ -204,8 +204,8 @@
 	return outcome{next: next}
 }
 
-// failed lets the core decide whether to retry after a back end answered with a failure of
-// its own. If not, that answer is passed on.
+// failed lets the core decide how to continue after a back end answered with a failure of
+// its own. If the core neither retries nor gives up, that answer is passed on.
 func (h *Handler) failed(c *call, send dispatch.Send, response *http.Response, result outcome) outcome {
 	tried := h.rejectAnswer(c, send, response, "the back end failed", (*dispatch.Core).Failed)
 	if tried.next.Send == nil && tried.next.GiveUp == nil {
--- a/internal/gateway/buffering.go
+++ b/internal/gateway/buffering.go
@@ -28,8 +28,8 @@
 	return n, err
 }
 
-// answerBodyReader reads a back end's answer. While the buffers have no room, it waits and
-// doesn't read from the back end.
+// answerBodyReader reads a back end's answer. While the buffers have no room for what it has
+// read, it waits and reads no more from the back end.
 type answerBodyReader struct {
 	reader  io.Reader
 	handler *Handler
@@ -58,13 +58,15 @@
 	c.bufferedRequest, c.bufferedAnswer = 0, 0
 }
 
-// writeGrace is how long after its deadline a caller may still read what was sent to it.
+// writeGrace is how long after its request's deadline a caller may still read what was sent to
+// it.
 const writeGrace = 2 * time.Second
 
-// setWriteDeadline closes the connection of a caller that stops reading for longer than it
-// said it would wait; otherwise what it doesn't read would stay buffered for as long as its
-// connection lasts. Every request sets a new deadline, because that of the previous request on
-// the connection has passed by then.
+// setWriteDeadline limits the time for writing the answer to the caller: the time that the
+// request may take, and writeGrace. The connection of a caller that hasn't read its answer by
+// then is closed; otherwise the answer would stay buffered for as long as the connection lasts.
+// Every request sets a new deadline, because that of the previous request on the connection may
+// have passed.
 func (h *Handler) setWriteDeadline(c *call, wait time.Duration) {
 	controller := http.NewResponseController(c.writer)
 	if err := controller.SetWriteDeadline(time.Now().Add(wait + writeGrace)); err != nil {
--- a/internal/gateway/bufferlimit.go
+++ b/internal/gateway/bufferlimit.go
@@ -10,9 +10,10 @@
 // outgrows its machine is killed, with all requests that it carries.
 //
 // Half of the limit is for requests, of which less urgent requests may use a smaller part, and
-// half for answers. So callers that don't read their answers never take room from new requests.
-// An answer waits until others have been read: its back end waits too, and the result of a
-// request that has run isn't lost. A BufferLimit is safe for concurrent use.
+// half for answers. So answers that callers don't read never take room from new requests. An
+// answer without room isn't refused, because the result of a request that has run would be lost:
+// it waits until others have been read, and its back end waits too. A BufferLimit is safe for
+// concurrent use.
 type BufferLimit struct {
 	// limitPerKind applies to requests and to answers separately; 0 means no limit.
 	limitPerKind int64
@@ -26,8 +27,8 @@
 }
 
 const (
-	// urgencyStep is the fraction of the limit by which requests may use less for each rank of
-	// lower urgency, up to maxUrgencySteps ranks.
+	// urgencyStep is the fraction of the limit that is closed to requests for each rank by which
+	// they are less urgent than rank 0, up to maxUrgencySteps ranks.
 	urgencyStep     = 0.1
 	maxUrgencySteps = 4
 	// smallAnswer is the size up to which an answer may use the whole limit for answers. Larger
--- a/internal/gateway/bufferlimit_test.go
+++ b/internal/gateway/bufferlimit_test.go
@@ -64,8 +64,8 @@
 	is.NoErr(buffers.AcquireAnswer(t.Context(), 5000, 5000, -1))
 }
 
-// For any sequence of acquires and releases, the bytes in use are those acquired and not
-// released, and stay within the limits.
+// For any sequence of acquires and releases for requests, the bytes in use are those acquired
+// and not released, and stay within the limit.
 func TestBufferedBytesMatchAcquiredLessReleased(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		buffers := NewBufferLimit(1000)
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -1,6 +1,6 @@
 // Package gateway implements a router that sends requests directly to back ends, without
 // agents. It serves callers over HTTP, lets the dispatch core choose the back end for each
-// attempt, and passes on complete answers.
+// attempt, and passes answers on so that callers can tell a truncated one from a complete one.
 package gateway
 
 import (
@@ -55,7 +55,7 @@
 type AnswerFacts struct {
 	// ID is the ID of the request that is answered.
 	ID string
-	// Signed is true if the answer carries the back end's signature.
+	// Stamped is true if the answer carries the stamp by which back ends mark their own answers.
 	Stamped bool
 	// NotRun is true if the back end promises that it did not run the request.
 	NotRun bool
--- a/internal/gateway/eras.go
+++ b/internal/gateway/eras.go
@@ -7,7 +7,7 @@
 	"github.com/harriernotch/harriernotch/internal/eventlog"
 )
 
-// Era returns the highest era of the store that this gateway knows of; 0 for none.
+// Era returns the highest era of the store that this gateway has observed; 0 for none.
 func (s *State) Era() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -21,7 +21,8 @@
 	return s.eraChanged
 }
 
-// ObserveEra processes the era reported by the store or a peer; 0 if they reported none.
+// ObserveEra processes the era reported by the store or a peer; 0 if none was reported. If it
+// is newer than an era observed before, the store was restored, and that is logged.
 func (s *State) ObserveEra(era uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/evacuations.go
+++ b/internal/gateway/evacuations.go
@@ -24,17 +24,17 @@
 	}
 }
 
-// knowsOrders reports whether the gateway knows which services are being moved to another
-// version, which zones are evacuated and, if back ends need a warm-up, which zones were
-// recently restored: their back ends have gone cold and have not yet reported it. One gateway
-// reads the recent restorations for all; after startupWait, the others no longer wait for them.
+// knowsOrders reports whether the gateway knows the rollouts, the evacuated zones and, if back
+// ends need a warm-up, the zones that were recently restored: back ends there have gone cold and
+// may not have reported it yet. One gateway reads the recent restorations for all; after
+// startupWait, the others no longer wait for them.
 func (s *State) knowsOrders() bool {
 	needsNoRestorations := s.view.Index() != nil && !s.core.HasWarmUps()
 	return s.knowsEvacuations && s.knowsRollouts && (s.knowsRestorations || needsNoRestorations || s.clock.Since(s.startedAt) >= startupWait)
 }
 
 // markKnown sets known if the orders of a kind have now been received completely, and reports
-// whether it was unset before.
+// whether this call set it.
 func markKnown(known *bool, isComplete bool) (first bool) {
 	first = isComplete && !*known
 	*known = *known || isComplete
--- a/internal/gateway/fingerprint_test.go
+++ b/internal/gateway/fingerprint_test.go
@@ -31,7 +31,7 @@
 }
 
 // BenchmarkFingerprints measures the cost per request while any content is withheld: 10 us with
-// a body of 12 KB. Otherwise no fingerprints are computed.
+// a body of 12 KB. While no crashes are known, fingerprints are computed only after failures.
 func BenchmarkFingerprints(b *testing.B) {
 	c := callOf("chat.example", "POST", "/chat/17f/fb06", "tenant", string(make([]byte, 12<<10)))
 	for b.Loop() {
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -24,9 +24,9 @@
 	State *State
 	// Dialect translates headers between callers, the gateway and back ends.
 	Dialect Dialect
-	// Reused carries requests that may be repeated, on pooled connections. Fresh carries
-	// all others, each on a new connection: a back end may close a pooled connection
-	// while a request is on its way, and it is then unknown whether the request ran.
+	// Reused sends requests that may be repeated, on pooled connections. Fresh sends all
+	// others, each on a new connection: a back end may close a pooled connection while a
+	// request is on its way, and it is then unknown whether the request ran.
 	Reused Transport
 	Fresh  http.RoundTripper
 	// MaxBodyBytes limits a request body if the configuration sets no limit.
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// routeRanks is the number of ranks for routes within each tenant priority. lastRank is the
-// rank of the least urgent requests.
+// routeRanks is the number of ranks for routes within each tenant priority. lowestUrgency is
+// the rank of the least urgent requests.
 const (
 	routeRanks    = 3
 	lowestUrgency = 9
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// route makes attempts until one of them has answered the caller, or gives up.
+// route makes attempts until one of them yields an answer for the caller, or gives up.
 func (h *Handler) route(ctx context.Context, c *call) {
 	path, _, _ := strings.Cut(c.request.RequestURI, "?")
 	decision := h.decideSend(c, func(now time.Time, core *dispatch.Core) (d dispatch.Decision) {
@@ -234,8 +234,9 @@
 	h.refuse(c, decision.GiveUp)
 }
 
-// decideSend runs a step that may decide on an attempt. If this process was paused, it first
-// waits until the process has caught up with what happened meanwhile.
+// decideSend runs a step that may decide on an attempt. If this process was paused, decideSend
+// first waits for the rest of settleTime, in which the process reads what happened during the
+// pause.
 func (h *Handler) decideSend(c *call, step func(now time.Time, core *dispatch.Core) dispatch.Decision) dispatch.Decision {
 	if wait := h.config.Lag.SettleWait(h.clock().Now()); wait > 0 {
 		timer := time.NewTimer(wait)
--- a/internal/gateway/lag.go
+++ b/internal/gateway/lag.go
@@ -30,7 +30,7 @@
 const (
 	// samplePeriod is the time between two measurements.
 	samplePeriod = 20 * time.Millisecond
-	// lagSlots * lagSlot is how long a delay counts.
+	// lagSlots * lagSlot is how long a delay counts for Lag.
 	lagSlots = 5
 	lagSlot  = 200 * time.Millisecond
 	// sustainedSamples is the number of consecutive samples that a sustained delay must show in.
@@ -40,8 +40,8 @@
 	// pauseThreshold is the shortest gap in running that counts as a pause of the process.
 	// During a pause, zones may have been evacuated and restored, and back ends may have lost
 	// their warm state. settleTime is the time after a pause in which the process reads what
-	// peers and the store have sent. Without it, a resumed process sent requests to cold back
-	// ends for 7 ms.
+	// peers and the store have sent. Without it, a resumed process sends requests to cold back
+	// ends until it has read that they are cold, for example for 7 ms.
 	pauseThreshold = time.Second
 	settleTime     = 100 * time.Millisecond
 )
@@ -77,7 +77,7 @@
 }
 
 // SettleWait returns how long a decision must wait because the process was paused until a
-// moment ago. It is usually 0.
+// moment ago. It is usually 0. A gap between two calls shows a pause, so Run calls it too.
 func (m *LagMeter) SettleWait(now time.Time) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/gateway/lag_test.go
+++ b/internal/gateway/lag_test.go
@@ -83,8 +83,8 @@
 	})
 }
 
-// After a pause, decisions wait for a moment until the process has learned what happened
-// meanwhile.
+// After a pause, decisions wait for settleTime, in which the process reads what happened during
+// the pause.
 func TestDecisionsWaitAfterProcessPause(t *testing.T) {
 	is := is.New(t)
 	meter, now := NewLagMeter(nil), time.Now()
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -112,7 +112,7 @@
 	m.forCall(c).Tagged(map[string]string{"kind": kind.String()}).Counter("refusals").Inc(1)
 }
 
-// noticed counts what a back end's answer says about the back end itself.
+// noticed counts a notice: what a back end's answer says about the back end itself.
 func (m *Metrics) noticed(c *call, notice dispatch.Notice) {
 	if notice.Leaving {
 		m.forCall(c).Tagged(map[string]string{"notice": "leaving"}).Counter("back_end_notices").Inc(1)
@@ -164,7 +164,7 @@
 	Gateways int
 	// Evacuated is the number of zones whose back ends get no new requests.
 	Evacuated int
-	// Era is the era of the store. Rollouts are the services being moved to another version.
+	// Era is the era of the store. Rollouts are the services that are being rolled out.
 	Era      uint64
 	Rollouts []RolloutGauges
 	// LinesLeftOut is the number of log lines left out since the start.
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -9,8 +9,8 @@
 	// Learner gateways get updates from those that read the store. They read it rarely
 	// themselves, in case they lose contact with their peers.
 	Learner Duty = iota
-	// Standby gateways try the store only occasionally. It is known to answer fewer gateways
-	// than needed, and other gateways are to try it first.
+	// Standby gateways try the store only occasionally: it is known to answer fewer gateways
+	// than needed, and other gateways try it first.
 	Standby
 	// Reader gateways read and watch the store continuously.
 	Reader
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -12,8 +12,8 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// AwaitRollouts keeps the gateway unready until it knows which services are being moved to
-// another version.
+// AwaitRollouts keeps the gateway unready until it knows which services are being rolled out,
+// that is, moved to another version.
 func (s *State) AwaitRollouts() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -64,7 +64,8 @@
 	return ages
 }
 
-// logRolloutChanges logs the steps of rollouts with the figures that led to them.
+// logRolloutChanges logs the steps of rollouts, and for a candidate that this gateway found bad
+// the figures that show it.
 func (s *State) logRolloutChanges() {
 	for _, each := range s.core.TakeRolloutChanges() {
 		fields := logrus.Fields{"service": each.Order.Service, "target": each.Order.Target}
@@ -104,15 +105,15 @@
 	return strconv.FormatUint(uint64(key), 16)
 }
 
-// HasRollouts reports whether any service is being moved to another version.
+// HasRollouts reports whether any service is being rolled out.
 func (s *State) HasRollouts() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.view.Rollouts()) > 0
 }
 
-// EvaluateRollouts evaluates the evidence. It returns the records that the store should contain
-// but doesn't, as far as this gateway knows.
+// EvaluateRollouts evaluates the evidence about the candidates. It returns the records that the
+// store should contain but doesn't, as far as this gateway knows.
 func (s *State) EvaluateRollouts() []catalog.Rollout {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -138,7 +139,7 @@
 	return unwritten
 }
 
-// Tallies returns this gateway's own tallies of the services that are being moved.
+// Tallies returns this gateway's own tallies of the services that are being rolled out.
 func (s *State) Tallies() []rollout.Tally {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -160,7 +161,8 @@
 	s.core.SetPeerTallies(s.clock.Now(), peer, tallies)
 }
 
-// MergeMarks merges a peer's knowledge about the services that are being moved.
+// MergeMarks merges a peer's marks of rollout orders: their ages, and which candidates were
+// found bad.
 func (s *State) MergeMarks(marks []rollout.Mark) {
 	if len(marks) == 0 {
 		return
--- a/internal/gateway/rolloutstatus.go
+++ b/internal/gateway/rolloutstatus.go
@@ -6,7 +6,7 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// RolloutStatus is the status of a service's move to another version.
+// RolloutStatus is the status of the rollout of a service.
 type RolloutStatus struct {
 	Service string `json:"service"`
 	Target  string `json:"target"`
@@ -19,7 +19,7 @@
 	AgeSeconds      float64 `json:"age_seconds"`
 	DurationSeconds float64 `json:"duration_seconds"`
 	// Sent counts the attempts of all gateways, Exposed those sent to the candidate version, and
-	// InFlight those that are running at the standing version.
+	// InFlight those in flight at the standing version.
 	Sent     int `json:"sent"`
 	Exposed  int `json:"exposed"`
 	InFlight int `json:"under_way_standing"`
@@ -34,15 +34,18 @@
 	// Share is the fraction of the route's requests that go to the candidate.
 	Share float64 `json:"share"`
 	// Doubt is the log-likelihood ratio, given the answers, of a bad candidate to a good one.
-	Doubt           float64 `json:"doubt"`
-	Answers         uint32  `json:"answers"`
-	Failed          uint32  `json:"failed"`
-	Timed           uint32  `json:"timed"`
-	Slow            uint32  `json:"slow"`
-	StandingFailed  uint32  `json:"standing_failed"`
-	StandingAnswers uint32  `json:"standing_answers"`
-	StandingSlow    uint32  `json:"standing_slow"`
-	StandingTimed   uint32  `json:"standing_timed"`
+	Doubt float64 `json:"doubt"`
+	// Answers counts the candidate's judged answers, Failed those that reported a failure of the
+	// back end. Timed counts the answers whose time was judged, Slow those that took several
+	// times as long as the standing version's. The other fields are those of the standing version.
+	Answers         uint32 `json:"answers"`
+	Failed          uint32 `json:"failed"`
+	Timed           uint32 `json:"timed"`
+	Slow            uint32 `json:"slow"`
+	StandingFailed  uint32 `json:"standing_failed"`
+	StandingAnswers uint32 `json:"standing_answers"`
+	StandingSlow    uint32 `json:"standing_slow"`
+	StandingTimed   uint32 `json:"standing_timed"`
 }
 
 // rolloutStatus returns the status of each rollout.
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -33,7 +33,7 @@
 	knowsRestorations bool
 	// knowsRollouts is set once it is known which services are being rolled out.
 	knowsRollouts bool
-	// eraChanged is closed and replaced when a new era of the store begins.
+	// eraChanged is closed and replaced when a new era of the store is observed.
 	eraChanged chan struct{}
 	// startedAt is when the gateway started. wasReady is set once it has been ready.
 	startedAt time.Time
@@ -65,8 +65,8 @@
 	unrecordedReady chan struct{}
 }
 
-// NewState returns an empty state. Zones count as not evacuated unless AwaitEvacuations is
-// called.
+// NewState returns an empty state. It counts evacuations, restorations and rollouts as known,
+// namely none, unless AwaitEvacuations or AwaitRollouts is called.
 func NewState(core *dispatch.Core, log *eventlog.Log) *State {
 	return &State{
 		log: log, view: catalog.NewView(), core: core, changed: make(chan struct{}), startedAt: time.Now(),
@@ -128,7 +128,8 @@
 // of a zone have just started, load balancers send callers to each of them before it is ready.
 const startupWait = 250 * time.Millisecond
 
-// AwaitReady returns once the gateway is ready, or when startupWait has passed.
+// AwaitReady returns once the gateway knows enough to serve, when startupWait has passed, or
+// when ctx ends.
 func (s *State) AwaitReady(ctx context.Context) {
 	for {
 		s.mutex.Lock()
@@ -249,6 +250,8 @@
 	}
 }
 
+// announce wakes those that wait for a change, such as senders of updates to peers. It logs when
+// the gateway becomes ready for the first time.
 func (s *State) announce() {
 	if !s.wasReady && s.canServe() {
 		s.wasReady = true
@@ -348,7 +351,7 @@
 	return s.storeAge(s.clock.Now())
 }
 
-// maxStoreAge is reported for a store that has never answered.
+// maxStoreAge is the largest reported age, also for a store that has never answered.
 const maxStoreAge = time.Hour
 
 func (s *State) storeAge(now time.Time) time.Duration {
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -42,7 +42,7 @@
 	// Evacuated are the zones whose back ends get no new requests.
 	Evacuated []string `json:"evacuated_zones,omitempty"`
 	// Era is the era of the store, or 0 if it reports none. Rollouts are the services that are
-	// being moved to another version.
+	// being rolled out.
 	Era      uint64          `json:"store_era,omitempty"`
 	Rollouts []RolloutStatus `json:"rollouts,omitempty"`
 	// Unreadable are the objects of the store that could not be used when last read.
@@ -74,13 +74,15 @@
 	Leaving bool   `json:"leaving"`
 	// Version is the version of its software, if it reports one.
 	Version string `json:"version,omitempty"`
-	// Evacuated is true while its zone gets no new requests. WarmsUp is true while it can
-	// serve only few requests.
-	Evacuated bool    `json:"evacuated,omitempty"`
-	WarmsUp   bool    `json:"warms_up,omitempty"`
-	Health    string  `json:"health"`
-	Own       int     `json:"own"`
-	Estimate  float64 `json:"estimate"`
+	// Evacuated is true while its zone gets no new requests. WarmsUp is true while it is warming
+	// up and gets only few requests.
+	Evacuated bool   `json:"evacuated,omitempty"`
+	WarmsUp   bool   `json:"warms_up,omitempty"`
+	Health    string `json:"health"`
+	// Own is the number of this gateway's requests in flight there, and Estimate the estimated
+	// number of all gateways' requests.
+	Own      int     `json:"own"`
+	Estimate float64 `json:"estimate"`
 }
 
 // Status returns the current status.
--- a/internal/gateway/unreadable.go
+++ b/internal/gateway/unreadable.go
@@ -10,7 +10,8 @@
 	"github.com/harriernotch/harriernotch/internal/eventlog"
 )
 
-// maxUnreadable limits the remembered objects: other writers may create any number.
+// maxUnreadable limits the remembered objects: other writers may create any number. At the
+// limit, all are forgotten, so a revision may then be reported again.
 const maxUnreadable = 256
 
 // unreadable remembers the store's objects that can't be used, by kind and name, so that each
--- a/internal/gateway/update.go
+++ b/internal/gateway/update.go
@@ -25,12 +25,12 @@
 	Entries       []catalog.Entry
 	EntriesCursor uint64
 	// Evacuations are the evacuation orders that have changed. KnowsEvacuations is false while
-	// this gateway doesn't know which zones are evacuated.
+	// this gateway doesn't know all orders; see knowsOrders.
 	Evacuations       []catalog.Evacuation
 	EvacuationsCursor uint64
 	KnowsEvacuations  bool
 	// Era is the era of the store. Rollouts are the rollout orders that have changed.
-	// KnowsRollouts is false while this gateway doesn't know the orders.
+	// KnowsRollouts is false while this gateway doesn't know all rollout orders.
 	Era            uint64
 	Rollouts       []catalog.Rollout
 	RolloutsCursor uint64
@@ -38,7 +38,7 @@
 	// Marks and Tallies concern the services that are being rolled out.
 	Marks   []rollout.Mark
 	Tallies []rollout.Tally
-	// Displaced are incarnations of back ends that have ended although they are still listed.
+	// Displaced are incarnations of back ends that have ended although they may still be listed.
 	Displaced       []uint32
 	DisplacedCursor uint64
 	// Leaving are incarnations of back ends whose answers said that they are leaving.
@@ -129,8 +129,9 @@
 	return update
 }
 
-// addBackEnds adds the changed back ends to the update, and the digest if it covers more than
-// those changes. The first digest covers all earlier changes.
+// addBackEnds adds the changed back ends to the update, and the digest if back ends have changed
+// that aren't among them. The first update to a peer has only the digest, which covers all back
+// ends.
 func (s *State) addBackEnds(update *Update, cursors Cursors) {
 	update.DigestCursor = 1 + s.view.Unannounced()
 	if cursors.Digest != update.DigestCursor {
--- a/internal/gateway/withheld.go
+++ b/internal/gateway/withheld.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// queueUnrecorded keeps a change until it is in the store. If too many wait, the oldest is
-// dropped; peers know it nevertheless.
+// queueUnrecorded queues a change that must be written to the store. If too many wait, the
+// oldest is dropped; peers still receive it.
 func (s *State) queueUnrecorded(change dispatch.WithheldChange) {
 	if len(s.unrecorded) >= maxUnrecorded {
 		s.log.Urgent(eventlog.RecordGivenUp, logrus.Fields{"fingerprint": s.unrecorded[0].Record.Fingerprint.String()})
--- a/internal/limits/retry.go
+++ b/internal/limits/retry.go
@@ -1,5 +1,5 @@
-// Package limits enforces a router's or gateway's share of fleet-wide limits: the
-// tenants' rate limits and the retry budget.
+// Package limits implements limits that a router or gateway enforces without exchanging
+// messages per request: its share of the tenants' rate limits, and its retry budget.
 //
 // The package does no I/O and reads no clock.
 package limits
--- a/internal/limits/retryshare.go
+++ b/internal/limits/retryshare.go
@@ -17,7 +17,7 @@
 
 // NewRetryBudgetShare returns the full share of one of the given number of
 // gateways. ratio is the number of retries that each request earns, and extra the
-// number of retries per window beyond those.
+// number of retries beyond those that all gateways together may make in any window.
 func NewRetryBudgetShare(ratio, extra float64, gateways int) *RetryBudgetShare {
 	budget := &RetryBudgetShare{ratio: ratio * safetyFactor, extra: extra * safetyFactor}
 	budget.SetGateways(gateways)
--- a/internal/limits/tenant.go
+++ b/internal/limits/tenant.go
@@ -33,8 +33,8 @@
 	return &TenantLimiter{routers: 1, limits: map[string]Limit{}, limiters: map[string]*rate.Limiter{}}
 }
 
-// Configure replaces the limits. A tenant whose share didn't change keeps its
-// remaining tokens.
+// Configure replaces the limits. A tenant that still has a limit keeps its remaining
+// tokens, up to its new burst.
 func (l *TenantLimiter) Configure(now time.Time, limits map[string]Limit) {
 	l.limits = limits
 	for tenant := range l.limiters {
@@ -45,7 +45,8 @@
 	l.applyShares(now)
 }
 
-// SetRouters sets the number of live routers, including this one.
+// SetRouters sets the number of live routers, including this one. It ignores a number
+// below 1.
 func (l *TenantLimiter) SetRouters(now time.Time, routers int) {
 	if routers < 1 || routers == l.routers {
 		return
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -14,8 +14,9 @@
 const (
 	// HealthAlive back ends are tried in the usual order.
 	HealthAlive Health = iota
-	// HealthFlapping back ends are reachable but were lost several times recently. They
-	// get a new chat to cache only if no alive member has room.
+	// HealthFlapping back ends are reachable but were lost several times recently. One of
+	// them is tried first only if no back end is alive. After a refusal, one may be tried
+	// before alive members that are believed to be full or more loaded.
 	HealthFlapping
 	// HealthDoubtful back ends are silent or unreachable and are tried last.
 	HealthDoubtful
@@ -98,7 +99,7 @@
 }
 
 // Route is the routing state of one request. It returns one attempt at a time. Each
-// back end is tried once, except that the least loaded one may be retried; see Next.
+// back end is tried once, except that one of them may be retried; see Next.
 type Route struct {
 	request       Request
 	order         []Member
@@ -178,8 +179,9 @@
 }
 
 // tokenFirst moves the token's engine to the front. If that engine's agent is known
-// to have restarted since, its context is lost, and the order stays as it is: the
-// hash spreads chats more evenly.
+// to have restarted since, the chat's context is lost. The list then keeps its
+// rendezvous order, which spreads such chats over the pool instead of sending them all
+// to that engine.
 func tokenFirst(token *ChatToken, list []Member) []Member {
 	if token == nil {
 		return list
@@ -217,14 +219,15 @@
 
 // Next returns the next attempt; ok is false if there is none.
 //
-// The first attempt follows the policy alone, because a wrong guess about load
-// would cost the chat its context. Later attempts can't preserve the context, so
-// after the first refusal they go to members that are believed to have room.
+// The first attempt follows the policy and the members' health. Loads don't change
+// that order, because a wrong guess about load would cost the chat its context. Later
+// attempts can't preserve the context, so once a member has refused for lack of room,
+// they prefer members that are believed to have room.
 //
-// When all members have refused or are unreachable, the least loaded of those that
-// refused is tried once more. It may have refused only because it knew too little
-// of the other loads to be sure of its bound; this time the request carries the
-// loads of the others.
+// When all members have been tried, the least loaded of those that refused for lack
+// of room is tried once more. It may have refused only because it knew too little of
+// the other loads to be sure of its bound; this time the request carries the loads of
+// the others that refused.
 func (r *Route) Next(now time.Time) (attempt Attempt, ok bool) {
 	if r.tried >= len(r.order) {
 		return r.retryLeastLoaded(now)
@@ -281,10 +284,11 @@
 }
 
 // refusalsUntilLeastLoaded is the number of refusals after which the least loaded
-// member is tried next, instead of the next one in rendezvous order.
+// member is tried next, instead of the next one in order that is believed to have room.
 const refusalsUntilLeastLoaded = 2
 
-// promoteBest moves the best remaining member to the next position.
+// promoteBest moves the best remaining member to the next position. Doubtful members
+// are considered only when no others remain.
 func (r *Route) promoteBest() {
 	threshold := r.meanReportedLoad()
 	best := r.tried
@@ -330,7 +334,8 @@
 	return aKnown && a.Load < b.Load
 }
 
-// Refused records a refusal of the last attempt.
+// Refused records a refusal of the last attempt. The load is evidence for later attempts
+// if the back end refused for lack of room.
 func (r *Route) Refused(now time.Time, backEnd string, refusal Refusal) {
 	r.refusals = append(r.refusals, refusal)
 	if refusal.Kind == failure.OverBound || refusal.Kind == failure.QueueFull {
@@ -347,13 +352,15 @@
 	return r.tried
 }
 
-// IsExhausted reports whether Next will return no further attempt, regardless of
-// the outcome of the last one.
+// IsExhausted reports whether the least loaded member has had its second attempt. Next
+// then returns no further attempt, regardless of the outcome of that one.
 func (r *Route) IsExhausted() bool { return r.retriedLeastLoaded }
 
-// GiveUp returns the final error for a request that no back end accepted. A single
-// refusal is passed on; otherwise the error is PoolExhausted, with the shortest
-// time after which a back end may have room.
+// GiveUp returns the final error for a request that no back end accepted. The refusal
+// of the owner of its key, or the only refusal, is passed on. After several refusals,
+// the error is PoolExhausted, with the shortest time after which a back end may have
+// room. Without any refusal, it is OwnerAway for a request with an owner, and
+// BackendUnreachable for any other.
 func (r *Route) GiveUp() *failure.Error {
 	if r.request.Owner != "" && len(r.refusals) == 0 {
 		return failure.New(failure.OwnerAway, "the back end that owns this key can't be reached; this attempt was not run")
--- a/internal/routing/token.go
+++ b/internal/routing/token.go
@@ -55,8 +55,8 @@
 	return base64.RawURLEncoding.EncodeToString(append(s.mac(tenant, body), body...))
 }
 
-// Open verifies and decodes a token. It rejects a token that belongs to another
-// tenant or was altered.
+// Open verifies and decodes a token. It rejects a token that is malformed, was altered,
+// or belongs to another tenant.
 func (s *TokenSealer) Open(tenant, text string) (ChatToken, error) {
 	invalid := failure.New(failure.InvalidRequest, "the chat token is not valid; send it as it was received, or leave it out")
 	if len(text) > MaxTokenLength {
