--- a/internal/catalog/evacuation.go
+++ b/internal/catalog/evacuation.go
@@ -52,6 +52,6 @@
 
 // EvacuationsSince returns the orders that have changed since the cursor, including withdrawn
 // ones, and the next cursor.
-func (v *View) EvacuationsSince(change uint64) ([]Evacuation, uint64) {
-	return v.evacuations.since(change)
+func (v *View) EvacuationsSince(cursor uint64) ([]Evacuation, uint64) {
+	return v.evacuations.since(cursor)
 }
--- a/internal/catalog/recordset.go
+++ b/internal/catalog/recordset.go
@@ -230,10 +230,10 @@
 
 // since returns the records that have changed since the cursor, in the order of their last
 // change, and the next cursor.
-func (s *recordSet[R]) since(change uint64) ([]R, uint64) {
+func (s *recordSet[R]) since(cursor uint64) ([]R, uint64) {
 	var keys []string
 	for key, at := range s.changeOf {
-		if at > change {
+		if at > cursor {
 			keys = append(keys, key)
 		}
 	}
--- a/internal/catalog/rollout.go
+++ b/internal/catalog/rollout.go
@@ -72,4 +72,4 @@
 
 // RolloutsSince returns the orders that have changed since the cursor, including withdrawn ones,
 // and the next cursor.
-func (v *View) RolloutsSince(change uint64) ([]Rollout, uint64) { return v.rollouts.since(change) }
+func (v *View) RolloutsSince(cursor uint64) ([]Rollout, uint64) { return v.rollouts.since(cursor) }
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -201,4 +201,4 @@
 
 // Since returns the entries that have changed since the cursor, in the order of their last
 // change, and the next cursor.
-func (v *View) Since(change uint64) ([]Entry, uint64) { return v.entries.since(change) }
+func (v *View) Since(cursor uint64) ([]Entry, uint64) { return v.entries.since(cursor) }
