--- a/internal/catalog/configuration.go
+++ b/internal/catalog/configuration.go
@@ -90,9 +90,10 @@
 	Priority int `cbor:"3,keyasint,omitempty"`
 }
 
-// Limits are the limits on requests of callers.
+// Limits restricts the requests of callers.
 type Limits struct {
-	// MaxBodyBytes is the largest size of a request body; 0 means no limit.
+	// MaxBodyBytes is the largest size of a request body; 0 if the configuration sets no limit, and
+	// each gateway applies its own.
 	MaxBodyBytes int64 `cbor:"1,keyasint,omitempty"`
 }
 
@@ -108,10 +109,10 @@
 	Limits Limits `cbor:"5,keyasint"`
 }
 
-// Check returns an error that names the first invalid field, or nil.
+// Check returns an error that names the first invalid field and its remedy, or nil.
 func (c *Configuration) Check() error {
 	if c.Version == 0 {
-		return errors.New("version is missing; it must be greater than 0")
+		return errors.New("version is missing; set a number greater than 0")
 	}
 	for i := range c.Routes {
 		if err := c.Routes[i].check(); err != nil {
@@ -120,7 +121,7 @@
 	}
 	for _, tenant := range c.Tenants {
 		if tenant.Name == "" {
-			return errors.New("tenant has no name")
+			return errors.New("a tenant has no name; give it one")
 		}
 	}
 	return nil
@@ -128,18 +129,18 @@
 
 func (r *Route) check() error {
 	if len(r.Prefix) == 0 || r.Prefix[0] != '/' || r.Prefix[len(r.Prefix)-1] != '/' {
-		return errors.Errorf("path prefix %q must begin and end with a slash", r.Prefix)
+		return errors.Errorf("path prefix %q doesn't begin and end with a slash; add the missing slash", r.Prefix)
 	}
 	if len(r.Targets) == 0 {
-		return errors.New("route has no target service")
+		return errors.New("targets are missing; name at least one service")
 	}
 	for _, target := range r.Targets {
 		if target.Service == "" || target.Weight < 0 {
-			return errors.Errorf("target %q with weight %d is invalid; it must name a service, and the weight must not be negative", target.Service, target.Weight)
+			return errors.Errorf("target %q with weight %d is invalid; name a service and set a weight of at least 0", target.Service, target.Weight)
 		}
 	}
 	if r.Timeout <= 0 {
-		return errors.Errorf("timeout %v is invalid; it must be greater than 0", r.Timeout)
+		return errors.Errorf("timeout %v is invalid; set one greater than 0", r.Timeout)
 	}
 	return nil
 }
--- a/internal/catalog/digest.go
+++ b/internal/catalog/digest.go
@@ -14,7 +14,7 @@
 
 // DigestBuckets is the number of buckets. It balances the size of a digest, 5 bytes per bucket,
 // against the cost of one difference, which is in proportion to a bucket's share of all back
-// ends: at 3,000 back ends, 47 entries of about 75 bytes.
+// ends: at 3,000 back ends, a bucket has 47 entries of about 75 bytes.
 const DigestBuckets = 64
 
 // Buckets is a set of a digest's buckets, with one bit for each.
@@ -46,12 +46,15 @@
 // leavingFactor is odd, so that multiplying by it maps the hashes of IDs one to one.
 const leavingFactor = 0x9e3779b97f4a7c15
 
-// checksumOf returns an entry's contribution to the checksum of its bucket. It covers what may
-// change while a back end is listed, namely whether it is leaving, except the warm-up, which ends
-// without an update. The checksum of a leaving back end isn't a linear function of the one that
-// it had before. If it were, such as the complement, two views that each consider a different
-// back end of a bucket to be leaving would have equal checksums for the bucket, and would never
-// find the difference.
+// checksumOf returns an entry's contribution to the checksum of its bucket. It covers the ID and
+// whether the back end is leaving, and no other field. The warm-up changes too while a back end is
+// listed, but ends without an update.
+//
+// The checksum of a bucket is the XOR of the contributions of its entries. So the contribution of a
+// leaving back end isn't a linear function, with respect to XOR, of the one that it had before. If
+// it were the complement, for example, two views that each consider a different back end of a
+// bucket to be leaving would have equal checksums for the bucket, and would never find the
+// difference.
 func checksumOf(entry Entry) uint32 {
 	sum := xxhash.Sum64String(entry.BackEnd.ID)
 	if entry.BackEnd.Leaving {
--- a/internal/catalog/evacuation.go
+++ b/internal/catalog/evacuation.go
@@ -36,7 +36,7 @@
 
 // OfferEvacuationList merges the complete list of orders at the position, and returns the
 // changes. An order that isn't in the list has been withdrawn, unless its record has a later
-// position.
+// position, or is of an earlier era and the current one hasn't settled.
 func (v *View) OfferEvacuationList(evacuations []Evacuation, at Position) []Evacuation {
 	return v.evacuations.offerList(evacuations, at)
 }
--- a/internal/catalog/recordset.go
+++ b/internal/catalog/recordset.go
@@ -36,7 +36,8 @@
 	announcedDivisor = 4
 )
 
-// maxTombstones limits the number of records of removed objects that are kept.
+// maxTombstones limits the number of records of removed objects that are kept, and thus their
+// memory.
 const maxTombstones = 4096
 
 // recordSet holds the newest record of each object of one kind. A record is replaced only by one
@@ -130,8 +131,9 @@
 	return added <= max(s.alwaysAnnounced, len(s.records)/announcedDivisor)
 }
 
-// offerOne merges one record and reports whether it was new. A new object is numbered as a change
-// only if announced is set. A change of a known object is always numbered if it needs an update.
+// offerOne merges one record, and reports whether anything but its position was new. A new object
+// is numbered as a change only if announced is set. A change of a known object is always numbered
+// if it needs an update.
 func (s *recordSet[R]) offerOne(offered R, announced bool) bool {
 	key := offered.key()
 	known, exists := s.records[key]
--- a/internal/catalog/rollout.go
+++ b/internal/catalog/rollout.go
@@ -62,7 +62,8 @@
 func (v *View) OfferRollouts(rollouts []Rollout) []Rollout { return v.rollouts.offer(rollouts) }
 
 // OfferRolloutList merges the complete list of orders at the position, and returns the changes.
-// An order that isn't in the list has been withdrawn, unless its record has a later position.
+// An order that isn't in the list has been withdrawn, unless its record has a later position, or is
+// of an earlier era and the current one hasn't settled.
 func (v *View) OfferRolloutList(rollouts []Rollout, at Position) []Rollout {
 	return v.rollouts.offerList(rollouts, at)
 }
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -144,7 +144,8 @@
 func (v *View) IgnoreEras() { v.eras.ignored = true }
 
 // SettleEra records that everything that the restored store lacked has been written again or no
-// longer exists. From then on, objects that are missing in a list count as removed.
+// longer exists. From then on, objects that are missing in a list count as removed. If a later era
+// has been observed, it does nothing.
 func (v *View) SettleEra(era uint64) {
 	if era == v.eras.era {
 		v.eras.settled = true
@@ -178,7 +179,8 @@
 }
 
 // OfferList merges the complete list of back ends at the position, and returns the changes. A
-// back end that isn't in the list is gone, unless its entry has a later position.
+// back end that isn't in the list is gone, unless its entry has a later position, or is of an
+// earlier era and the current one hasn't settled.
 func (v *View) OfferList(entries []Entry, at Position) []Entry {
 	return v.entries.offerList(withWarmUpPositions(entries), at)
 }
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -229,7 +229,8 @@
 	return f.config.State.Place().Duty != gateway.Learner || !f.config.State.Ready()
 }
 
-// read reads a list, and records whether the store answered.
+// read reads a list, and records whether the store answered. A fresh read advances the progress of
+// the list.
 func (f *Follower) read(ctx context.Context, from list, stale bool) (catalog.Position, error) {
 	position, err := from.read(ctx, stale)
 	f.recordResult(ctx, from.name, err)
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -197,8 +197,8 @@
 	})
 }
 
-// If a store answers no plain read, its connections needn't be dead, so the watches aren't
-// restarted.
+// A store that answers no plain read in time may be down or slow, and its connections needn't be
+// dead, so the watches aren't restarted.
 func TestWatchesContinueWhileNoReadIsAnswered(t *testing.T) {
 	is := is.New(t)
 	s := &source{backEnds: 3}
--- a/internal/follower/restorations.go
+++ b/internal/follower/restorations.go
@@ -17,9 +17,12 @@
 // others.
 
 const (
-	// restorationsDelay is the time after its start in which a gateway gets to know its peers. If
-	// all gateways have started together, callers wait that long until it is ready, because three
-	// gateways sent 12 requests in that time to a back end that can serve 8 a second.
+	// restorationsDelay is the time after its start in which a gateway gets to know its peers, and
+	// thus its rank. If all gateways have started together and back ends need a warm-up, callers
+	// wait at least that long, because a gateway isn't ready until it knows the recent
+	// restorations or no longer waits for them. Serving before then can overload cold back ends: in
+	// the time until they knew a restoration, three gateways together sent 12 requests to a back
+	// end that can serve 8 a second.
 	restorationsDelay = 100 * time.Millisecond
 	// restorationsTimeout is the time that a gateway waits for the store. After it, back ends
 	// have reported themselves that they are cold.
--- a/internal/follower/watches.go
+++ b/internal/follower/watches.go
@@ -35,8 +35,9 @@
 	return w.current
 }
 
-// restart cancels the current watches because they started in an era that has ended. Later
-// watches get a new context.
+// restart cancels the current watches, after the progress of the lists has been reset: the watches
+// started in an era that has ended, or before the current one settled. Later watches get a new
+// context.
 func (w *watches) restart() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/follower/withheld.go
+++ b/internal/follower/withheld.go
@@ -9,9 +9,9 @@
 
 // Gateways gossip which requests crash back ends. If all gateways were killed together, this
 // knowledge would be lost, and three more back ends would have to crash for each such request. So
-// the gateway that observes that a request becomes withheld writes a record to the platform's
-// store, and a gateway that starts reads the list once. This costs one call per start and one per
-// such request.
+// a gateway that observes that a request becomes withheld writes a record to the platform's store,
+// and a gateway that starts reads the list once. This costs one call per start and one per such
+// request, apart from the removal of its record.
 
 // syncWithheld reads the list of withheld requests, and then writes the changes that this gateway
 // observes.
