--- a/internal/collect/aggregator.go
+++ b/internal/collect/aggregator.go
@@ -8,8 +8,8 @@
 )
 
 // sourceTimeout is the age up to which reported counts are included in the totals. It spans several
-// reporting periods, so that a lost message doesn't lower the totals, and a gateway that is gone
-// counts no longer than the requests that it sent take to run.
+// reporting periods, so that a lost message doesn't lower the totals. It is short enough that a
+// gateway that is gone counts no longer than the requests that it sent take to run.
 const sourceTimeout = 1200 * time.Millisecond
 
 // Aggregator sums up the counts that a collector received: those of its members, and the totals of
--- a/internal/collect/aggregator_test.go
+++ b/internal/collect/aggregator_test.go
@@ -141,8 +141,8 @@
 	})
 }
 
-// The traffic of collecting at the target size, in front of 660 back ends: the answers to a member,
-// and what the collector of a full group sends.
+// The answers to a member stay within their limit at the target size, in front of 660 back ends.
+// The log also shows the traffic that the collector of a full group sends.
 func TestTrafficAtTargetFleetSize(t *testing.T) {
 	is := is.New(t)
 	const backEnds, gateways = 660, 340
--- a/internal/collect/message.go
+++ b/internal/collect/message.go
@@ -10,9 +10,9 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// queryMessage is what a gateway sends to a collector. A member reports its counts, and the answer
-// contains the totals of the whole fleet. For another collector it contains the totals of the
-// group.
+// queryMessage is what a gateway sends to a collector. A member reports its counts, and gets an
+// answer with the totals of the whole fleet. Another collector reports nothing, and gets the totals
+// of the group.
 type queryMessage struct {
 	// From is the ID of the sender.
 	From string `cbor:"1,keyasint"`
--- a/internal/collect/service.go
+++ b/internal/collect/service.go
@@ -110,8 +110,8 @@
 	s.tasks.Wait()
 }
 
-// run reports and queries once per period. In a small fleet all gateways exchange their loads
-// directly, and nothing is collected.
+// run reports to the group's collector and queries the other groups, at the intervals that report
+// returns. In a small fleet all gateways exchange their loads directly, and nothing is collected.
 func (s *Service) run() {
 	var queries conc.WaitGroup
 	defer queries.Wait()
--- a/internal/collect/service_test.go
+++ b/internal/collect/service_test.go
@@ -97,8 +97,8 @@
 	return nodes
 }
 
-// A connection that the collector has closed because it was idle is reopened within one query. The
-// collector doesn't count as silent.
+// A connection that was closed, as a collector does with an idle one, is reopened within one query,
+// which succeeds: the collector isn't skipped as a silent one.
 func TestClosedConnectionIsReopenedWithinOneQuery(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/collect/simulation_test.go
+++ b/internal/collect/simulation_test.go
@@ -112,7 +112,7 @@
 }
 
 // step simulates one time step at a rate of perSecond requests, of which the fraction hotShare is
-// for one part.
+// for one part; see also noPrompts.
 func (s *simulation) step(perSecond, hotShare float64) {
 	s.now = s.now.Add(timeStep)
 	s.completeRequests()
@@ -218,8 +218,8 @@
 	backEnds[backEnd] = true
 }
 
-// Hundreds of gateways that each decide alone keep the operators' load bound, refuse no request
-// while there is room, and have few parts prefilled at more than one back end.
+// Hundreds of gateways that each decide alone keep the operators' load bound, and refuse no request
+// while there is room. The log shows how many prefills at further back ends that takes.
 func TestLargeFleetsKeepTheLoadBound(t *testing.T) {
 	for _, size := range []struct {
 		gateways, members int
--- a/internal/relay/connect.go
+++ b/internal/relay/connect.go
@@ -61,8 +61,8 @@
 // sides have sent each other what they know.
 const minLinkAge = 2 * time.Second
 
-// closeSurplus closes connections to seeds that aren't needed any more. Otherwise a fleet of
-// hundreds of gateways would stay connected to its three seeds.
+// closeSurplus closes connections that aren't needed any more, such as those to seeds. Otherwise a
+// fleet of hundreds of gateways would stay connected to its three seeds.
 func (r *Relay) closeSurplus(now time.Time) {
 	var candidates []string
 	for peer, link := range r.opened {
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -69,7 +69,7 @@
 }
 
 // maxReceivedHoldings limits the received holdings that a connection remembers, to the number of
-// holding updates that a gateway keeps.
+// holding updates that a gateway keeps. Beyond it all are forgotten, and may be sent back.
 const maxReceivedHoldings = 4096
 
 func newLink(socket *websocket.Conn) *link {
--- a/internal/relay/link_test.go
+++ b/internal/relay/link_test.go
@@ -43,8 +43,8 @@
 	is.Equal(len(link.withoutReceivedHoldings(changed)[0].Parts), 2) // sent again after a new update
 }
 
-// After a message without an update the next one may be delayed, so everything that the receiver
-// would miss counts as an update.
+// After a message without an update the next one may be delayed, so what the receiver would miss
+// counts as an update.
 func TestMessageCarriesUpdate(t *testing.T) {
 	is := is.New(t)
 	before := Message{From: "g", Version: 3, KnowsEvacuations: true, StoreAgeMillis: 40}
--- a/internal/relay/message.go
+++ b/internal/relay/message.go
@@ -29,7 +29,7 @@
 	// Loads are the numbers of requests that the sender has in flight. In a large fleet they are
 	// collected instead; see package collect.
 	Loads []dispatch.Load `cbor:"7,keyasint,omitempty"`
-	// StoreAgeMillis is the time since the store last answered the sender.
+	// StoreAgeMillis is the time since the store last answered the sender, at most forgetTimeout.
 	StoreAgeMillis int64 `cbor:"8,keyasint"`
 	// Holdings are prompt parts that back ends have cached; only updates are sent.
 	Holdings []dispatch.Holdings `cbor:"10,keyasint,omitempty"`
@@ -57,9 +57,9 @@
 	Era uint64 `cbor:"20,keyasint,omitempty"`
 	// Rollouts are the rollout orders, to move services to other versions, that have changed since
 	// the last message. KnowsRollouts is true if the sender knows all of them: the first message
-	// with it contains all. Marks are what is known of those that aren't decided, and Tallies what
-	// the sender has observed of them. In a large fleet tallies are collected instead; see package
-	// collect.
+	// with it contains all. Marks are what is known of those that aren't decided (see
+	// rollout.Mark), and Tallies what the sender has observed of them. In a large fleet tallies are
+	// collected instead; see package collect.
 	Rollouts      []catalog.Rollout `cbor:"21,keyasint,omitempty"`
 	KnowsRollouts bool              `cbor:"22,keyasint,omitempty"`
 	Marks         []rollout.Mark    `cbor:"23,keyasint,omitempty"`
@@ -73,10 +73,11 @@
 }
 
 const (
-	// period is the time between two messages on a connection; a change is sent without waiting for
-	// it. In a small fleet it bounds the age of loads. Beyond fullRateGateways gateways, whose
-	// messages carry only updates, it grows up to maxPeriod, at which messages still show within
-	// contactTimeout that the peer is live.
+	// period is the time between two messages on a connection. Loads, holdings and StoreAgeMillis
+	// wait for it, while most other changes are sent without waiting. In a small fleet it bounds
+	// the age of loads. Beyond fullRateGateways gateways, whose messages carry only updates, it
+	// grows up to maxPeriod, at which messages still show within contactTimeout that the peer is
+	// live.
 	period           = 200 * time.Millisecond
 	fullRateGateways = 30
 	maxPeriod        = time.Second
@@ -92,8 +93,8 @@
 	peersPeriod = time.Second
 )
 
-// carriesUpdate reports whether the message tells the receiver more than that the sender is live,
-// after the previous message.
+// carriesUpdate reports whether the message, sent after the previous one, contains more for the
+// receiver than that the sender is live. A new StoreAgeMillis isn't an update.
 func (m *Message) carriesUpdate(previous Message) bool {
 	changed := m.Version != previous.Version || m.KnowsEvacuations != previous.KnowsEvacuations || m.Era != previous.Era || m.KnowsRollouts != previous.KnowsRollouts
 	lists := len(m.Digest) + len(m.Document) + len(m.Entries) + len(m.Evacuations) + len(m.Holdings) + len(m.Loads) + len(m.Peers) + len(m.Crashes) + len(m.Rollouts) + len(m.Marks) + len(m.Displaced) + len(m.Leaving)
--- a/internal/relay/peertable.go
+++ b/internal/relay/peertable.go
@@ -1,6 +1,6 @@
 // Package relay exchanges state between gateways by gossip: configurations, back ends, loads, and
-// the addresses of other gateways. A gateway whose calls the platform's store rejects still gets
-// all updates from its peers.
+// the addresses of other gateways. A gateway whose calls the platform's store rejects still learns
+// what its peers learn.
 //
 // PeerTable is the state machine that tracks which gateways are known and decides which ones to
 // connect to. Relay runs it, over WebSocket with CBOR.
@@ -19,7 +19,7 @@
 
 // Peer describes a gateway in a message to other gateways.
 type Peer struct {
-	// ID is the gateway's name.
+	// ID is the gateway's ID.
 	ID string `cbor:"1,keyasint"`
 	// Address is the address of its listener for peers.
 	Address string `cbor:"2,keyasint"`
@@ -69,7 +69,7 @@
 	seeds    []string
 	peers    map[string]*peerState
 	dialedAt map[string]time.Time
-	// lastSent is the ID of the last peer that was included in a message.
+	// lastSent is the ID of the last peer, apart from readers, that was included in a message.
 	lastSent string
 	// seedsDialedAt is when the seeds were last tried.
 	seedsDialedAt time.Time
@@ -136,10 +136,10 @@
 // order, of the live ones that the store answers. While it answers fewer, as after a start or
 // during an outage, every other gateway tries it too: the first few of the live ones, in hash
 // order, continuously, and the rest occasionally as standbys. A gateway that gets an answer becomes
-// a reader, and the others hear of that at once. A gateway without contact to any peer reads for
-// itself. The gateways may disagree for a moment; then a few more of them read, or the rare reads
-// of the others make up for the missing readers. storeAge is how long ago the store answered this
-// gateway.
+// a reader, and the others learn of that from its next messages. A gateway without contact to any
+// peer reads for itself. The gateways may disagree for a moment; then a few more of them read, or
+// the rare reads of the others make up for the missing readers. storeAge is how long ago the store
+// answered this gateway.
 func (t *PeerTable) Place(now time.Time, storeAge time.Duration) gateway.Place {
 	place := gateway.Place{Gateways: t.LiveCount(now), Duty: gateway.Reader}
 	if !t.hasContact(now) {
@@ -202,7 +202,8 @@
 	return maxStoreAge + time.Duration(len(t.peers))*maxStoreAgePerPeer
 }
 
-// currentReaders returns the first peers, in hash order, that the store answers.
+// currentReaders returns the first peers, in hash order, that the store answers: as many as should
+// read it, or fewer if it answers fewer.
 func (t *PeerTable) currentReaders(now time.Time) []string {
 	limit := t.storeAgeLimit()
 	var answered []string
@@ -241,7 +242,8 @@
 	return count
 }
 
-// Fleet returns all gateways that have been seen and aren't forgotten, live or not.
+// Fleet returns all gateways that have been seen and aren't forgotten, live or not, and whether
+// there are seeds other than this gateway.
 func (t *PeerTable) Fleet() dispatch.Fleet {
 	fleet := dispatch.Fleet{Self: t.id}
 	for id, peer := range t.peers {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -19,7 +19,7 @@
 
 // Config configures a Relay.
 type Config struct {
-	// ID is this gateway's name, and Address the address of its listener for peers.
+	// ID is this gateway's ID, and Address the address of its listener for peers.
 	ID      string
 	Address string
 	// Zone is where this gateway runs, and Capacity its share of a processor in hundredths of a
--- a/internal/relay/repair.go
+++ b/internal/relay/repair.go
@@ -54,8 +54,8 @@
 // each digest that the peer sends: if it is the peer that lacks something, its answer changes
 // nothing, and it sends a request in turn.
 type repair struct {
-	// digest is the peer's last one, and unrequested are the buckets in which it differed and that
-	// haven't been requested from the peer yet.
+	// digest is the peer's last one, and unrequested are the buckets in which it differs, or hasn't
+	// been compared yet, and that haven't been requested from the peer since it arrived.
 	digest      catalog.Digest
 	unrequested catalog.Buckets
 	// inFlight are the buckets that were requested from the peer at requestedAt.
--- a/internal/relay/send.go
+++ b/internal/relay/send.go
@@ -38,8 +38,8 @@
 	lastMessage Message
 }
 
-// writeLoop sends the peer the state that it lacks, after each change and otherwise after the time
-// that delayAfter returns.
+// writeLoop sends the peer the state that it lacks: when the state announces a change, when
+// wakeWriter is called, and otherwise after the time that delayAfter returns.
 func (r *Relay) writeLoop(ctx context.Context, to *link) {
 	timer := time.NewTimer(period)
 	defer timer.Stop()
--- a/internal/relay/topology.go
+++ b/internal/relay/topology.go
@@ -20,7 +20,8 @@
 	seedIntervalPerPeer = 100 * time.Millisecond
 )
 
-// DialTargets returns the addresses to connect to now.
+// DialTargets returns the addresses to connect to now, and records that they are dialed. It also
+// removes the peers that are to be forgotten.
 func (t *PeerTable) DialTargets(now time.Time) []string {
 	t.forget(now)
 	var wanted []string
@@ -56,7 +57,7 @@
 }
 
 // Surplus returns those of the candidates to which a connection isn't needed any more, such as
-// seeds: they aren't neighbours, and enough neighbours are connected.
+// seeds: they aren't neighbours, and enough neighbours are connected. It modifies candidates.
 func (t *PeerTable) Surplus(candidates []string) []string {
 	neighbours := t.neighbours()
 	if len(candidates) == 0 || t.lacksNeighbours(neighbours) {
@@ -128,7 +129,8 @@
 func IsLarge(gateways int) bool { return gateways > fullMeshSize }
 
 // linkCount returns the number of connections of a gateway in a fleet of the given number of
-// gateways: those that it opens, and in a large fleet as many that others open to it.
+// gateways. In a small fleet that is one to each other gateway; in a large one, those that it opens
+// to its neighbours, and as many that others open to it.
 func linkCount(gateways int) int {
 	if gateways <= fullMeshSize {
 		return gateways - 1
