--- a/internal/bundle/accept.go
+++ b/internal/bundle/accept.go
@@ -96,9 +96,10 @@
 //
 // Why this is safe: a version that moves a key to another owner is published at a time P, and its
 // handover ends no earlier than P plus one lease plus the clock error. A node that missed that
-// version was last confirmed before P. So it stops by P plus one lease, and never accepts a key
-// that was issued after the end of the handover. The new owner accepts only such keys. See
-// OwnerOf and SuccessionOf.
+// version was last confirmed before P, so it stops by P plus one lease. The time of issue of a
+// key that it accepts until then is at most one clock error later. So the node never accepts a
+// key that was issued after the end of the handover, and the new owner accepts only such keys.
+// See OwnerOf and SuccessionOf.
 func (a *Acceptor) HoldsLease(now time.Time) bool {
 	age, ok := a.ConfirmedAge(now)
 	return ok && age <= a.current.Content.Control.OwnershipLease.Std()
--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -91,7 +91,7 @@
 		}
 	}
 	_, err = acceptor.Offer(altered)
-	is.True(err != nil) // an alteration is refused, with whatever kind
+	is.True(err != nil) // an altered bundle is refused, with an error of any kind
 	is.Equal(acceptor.Number(), uint64(5))
 }
 
--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -24,8 +24,8 @@
 	maxNameLength   = 64
 )
 
-// Parse decodes and checks a bundle document, and fills in defaults. The error lists every
-// problem with its file, line, field and remedy.
+// Parse decodes and checks a bundle document, and fills in defaults. The error lists the problems,
+// each with its file, line, field and remedy.
 func Parse(file string, data []byte) (*Content, error) {
 	content := &Content{}
 	document, err := tomlfile.Decode(file, data, content)
--- a/internal/bundle/model.go
+++ b/internal/bundle/model.go
@@ -77,7 +77,7 @@
 	// RoundUp gives more cache reuse; the load may exceed the exact multiple by less than one
 	// request.
 	RoundUp Rounding = "up"
-	// RoundDown keeps the load below the exact multiple, for less skew.
+	// RoundDown keeps the load at or below the exact multiple where possible, for less skew.
 	RoundDown Rounding = "down"
 )
 
--- a/internal/bundle/owner.go
+++ b/internal/bundle/owner.go
@@ -30,12 +30,12 @@
 // computed from the time of signing.
 const PublishSlack = 5 * time.Minute
 
-// Succession is what the header of a new version takes over from the version before it.
+// Succession is the part of a new version's header that follows from the version before it.
 type Succession struct {
 	// Handovers is the new header's list.
 	Handovers []Handover
-	// StaleUntil is when the last node that missed the new version has lost its lease, whichever
-	// earlier version it holds.
+	// StaleUntil is the time by which every node that missed the new version has lost its lease,
+	// whichever earlier version it holds.
 	StaleUntil time.Time
 }
 
--- a/internal/bundle/sign.go
+++ b/internal/bundle/sign.go
@@ -30,8 +30,8 @@
 	// Handovers keep the owners of keys of unrepeatable requests stable while a member list
 	// changes, oldest first.
 	Handovers []Handover `cbor:"4,keyasint,omitempty"`
-	// StaleUntilMillis is when the last node that missed this version has lost its lease, in Unix
-	// milliseconds; 0 for the first version.
+	// StaleUntilMillis is the time by which every node that missed this version has lost its
+	// lease, in Unix milliseconds; 0 for the first version.
 	StaleUntilMillis int64 `cbor:"5,keyasint,omitempty"`
 	// Note is the operator's comment.
 	Note string `cbor:"6,keyasint,omitempty"`
@@ -43,8 +43,7 @@
 	Pool string `cbor:"1,keyasint"`
 	// Members is the member list from before the change.
 	Members []string `cbor:"2,keyasint"`
-	// UntilMillis is a Unix time in milliseconds: keys issued before it belong
-	// to Members.
+	// UntilMillis is a Unix time in milliseconds: keys issued before it belong to Members.
 	UntilMillis int64 `cbor:"3,keyasint"`
 }
 
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -19,15 +19,15 @@
 	// read them.
 	alwaysReads bool
 	// totalSuspended is the time that the machine was suspended since the clock was created.
-	// drift is the difference between the elapsed times of the time of day and of the monotonic
-	// clock when it was last recorded. Both are in nanoseconds.
+	// drift is how far the time of day has moved ahead of the monotonic clock since then, as last
+	// recorded. Both are in nanoseconds.
 	totalSuspended atomic.Int64
 	drift          atomic.Int64
 }
 
 // driftTolerance is the change of the drift above which the time of suspensions is read again.
-// Reading it costs a system call, and Now is called very often. Between two readings the time of
-// day is slewed by less, and shorter suspensions don't matter.
+// Reading it costs system calls, and Now is called very often. The time of day is slewed so slowly
+// that this rarely causes a reading, and shorter suspensions don't matter.
 const driftTolerance = 20 * time.Millisecond
 
 // minSuspension is the shortest suspension that counts, since the system's two clocks aren't read
--- a/internal/rollout/attempt.go
+++ b/internal/rollout/attempt.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// AttemptFacts are what the judge needs to know of an attempt.
+// AttemptFacts holds what the judge needs to know about an attempt.
 type AttemptFacts struct {
 	// Route is the name of the request's route, and BackEnd the back end that the attempt is sent
 	// to.
@@ -23,21 +23,20 @@
 	key    Key
 	facts  AttemptFacts
 	sentAt time.Time
-	// processingSince is when the timed processing began. For a stream that is its first event,
-	// which comes late if the back end must process a prompt that the standing version has
-	// cached.
+	// processingSince is when the timed processing began. For a stream that is its first event.
+	// The time before it isn't compared, since it is longer at a back end that must process a
+	// prompt that the standing version has cached.
 	processingSince time.Time
 	timed           bool
 	ended           bool
 }
 
 const (
-	// An answer is slow if it takes more than slowFactor times the standing version's mean.
-	// Exponentially distributed times exceed that once in 12, on both sides; those of a version
-	// that takes four times as long, every second time.
+	// An answer is slow if it takes more than slowFactor times the standing version's mean, plus
+	// slowExtra. Exponentially distributed times exceed that factor once in 12, on both sides;
+	// those of a version that takes four times as long, every second time.
 	slowFactor = 2.5
-	// slowExtra is added, so that short processing doesn't count as slow because of delays in
-	// transit.
+	// slowExtra keeps short processing from counting as slow because of delays in transit.
 	slowExtra = 20 * time.Millisecond
 )
 
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -17,8 +17,8 @@
 	// beganAt is when the order was given: the earliest time that this gateway knows from itself,
 	// its peers or the store.
 	beganAt time.Time
-	// candidateSince is when this gateway first knew of back ends of the target version, or zero
-	// while there are none.
+	// candidateSince is the time since which this gateway has known of back ends of the target
+	// version in service, or zero while there are none.
 	candidateSince time.Time
 	state          State
 	// abandoned is true once any gateway has found the candidate bad. finding is the reason, if
@@ -45,9 +45,9 @@
 	// of tallies.
 	evaluationInterval = 200 * time.Millisecond
 	// shortestSpan is the shortest time span whose answers are evaluated by themselves: shorter
-	// ones contain too few. spanGrowth is the ratio of the lengths of successive spans, so that a
-	// candidate that turned bad is evaluated over a span at most about that many times as long as
-	// the time since then.
+	// ones contain too few. spanGrowth is about the ratio of the lengths of successive spans, so
+	// that a candidate that turned bad is evaluated over a span that is at most about spanGrowth
+	// times as long as the time since then.
 	shortestSpan = 2 * time.Second
 	spanGrowth   = 1.5
 )
@@ -239,8 +239,8 @@
 }
 
 // meanProcessingTime returns the route's mean processing time at the standing version. It leaves
-// out the slowest group if the others have enough answers: a slow machine must not hide a slow
-// candidate.
+// out the slowest group if the others have enough timed answers: a slow machine must not hide a
+// slow candidate.
 func (j *Judge) meanProcessingTime(route uint32) (mean time.Duration, known bool) {
 	sum, slowest := j.standingTallies(route)
 	if others := sum.Minus(slowest); others.Timed >= minTimed {
@@ -253,7 +253,8 @@
 // comparison.
 const minTimed = 3
 
-// Evaluate evaluates the evidence, and reports whether the candidate is abandoned for it.
+// Evaluate evaluates the evidence, and reports whether that made this gateway abandon the
+// candidate. It does nothing within evaluationInterval of the last evaluation.
 func (j *Judge) Evaluate(now time.Time) (abandoned bool) {
 	if n := len(j.history); n > 0 && now.Sub(j.history[n-1].at) < evaluationInterval {
 		return false
@@ -324,8 +325,8 @@
 		// There is nothing to move to, and the standing back ends must not be stopped.
 		return Reverted
 	case elapsed >= j.completeAt() && j.isDoubtful():
-		// There is no time left to resolve the doubt, and the standing version serves callers
-		// well.
+		// There is no time left to resolve the doubt, and callers are still served by the
+		// standing version.
 		return Reverted
 	case elapsed >= j.completeAt() && len(j.Waits(now)) == 0:
 		return Completed
@@ -354,9 +355,9 @@
 	if !j.hasQuorum(now) {
 		waits = append(waits, WaitGateways)
 	}
-	// A gateway that has just started knows nothing of how the candidate did before. So it
-	// completes nothing until it has seen the candidate tried itself; by then it has learned what
-	// its peers found.
+	// A gateway that has just started doesn't know how the candidate has done so far. So it
+	// completes nothing until it has itself seen the candidate being tried; by then it has learned
+	// what its peers found.
 	inFlight, routesPending := uint32(0), now.Sub(j.beganAt) < j.probationEnd()+j.rampTime()+minRamp
 	for key, each := range j.sum(now) {
 		routesPending = routesPending || now.Sub(j.beganAt) < j.fullAt(key.Route)+minRamp
--- a/internal/rollout/judge_test.go
+++ b/internal/rollout/judge_test.go
@@ -171,8 +171,8 @@
 }
 
 // While the whole service is in trouble, a bad candidate can't be distinguished from the standing
-// version. Afterwards a candidate that fails six in ten requests must be in doubt or abandoned,
-// and must be reverted at the deadline.
+// version. That trouble must not excuse the candidate afterwards: one that fails six in ten
+// requests must be in doubt or abandoned, and must be reverted near the deadline.
 func TestBadCandidateIsRevertedAfterServiceTrouble(t *testing.T) {
 	for name, standingRecovers := range map[string]bool{"standing version recovers": true, "standing version gets no more requests": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -2,14 +2,14 @@
 // candidate, while back ends of the version before, the standing version, keep serving.
 //
 // A Judge runs in every gateway. It decides for each request which of the two versions may get
-// it, counts how their answers turn out, and determines when the rollout is to be completed or
+// it, counts good and bad answers of both, and determines when the rollout is to be completed or
 // reverted. It gives three guarantees:
 //
 //   - Exposure: until the operators' deadline a bad candidate gets at most a fixed share of the
 //     service's requests plus a fixed number. Each request is assigned by a hash of its ID, so
 //     the share holds in expectation for any number of gateways, whether or not they hear from
-//     each other: there is no budget to divide among gateways, of which each would round up its
-//     part.
+//     each other. There is no budget that is divided among gateways, so none is exceeded because
+//     each gateway rounds its part up.
 //   - A candidate that was found bad gets no more requests: every gateway that finds it bad or
 //     learns of it stops sending to it, and nothing undoes that within the order.
 //   - There is one verdict: it is written to the platform's store by a conditional write, and the
--- a/internal/rollout/remote.go
+++ b/internal/rollout/remote.go
@@ -58,7 +58,7 @@
 	return 3*reporting >= quorumThirds*r.gateways
 }
 
-// sum returns the sums of the fresh tallies.
+// sum returns the sums of the fresh tallies of the other gateways.
 func (r *remoteTallies) sum(now time.Time) map[Key]Tally {
 	total := map[Key]Tally{}
 	if r.totalsAreFresh(now) {
--- a/internal/rollout/report.go
+++ b/internal/rollout/report.go
@@ -46,7 +46,7 @@
 // Finding returns why this gateway found the candidate bad, or nil.
 func (j *Judge) Finding() *Finding { return j.finding }
 
-// Report returns a report based on the tallies of the last evaluation.
+// Report returns a report whose counts are those of the last evaluation.
 func (j *Judge) Report(now time.Time) Report {
 	report := Report{
 		Order: j.order, Age: j.Age(now), State: j.state, Abandoned: j.abandoned, Finding: j.finding,
--- a/internal/rollout/scenarios_test.go
+++ b/internal/rollout/scenarios_test.go
@@ -21,10 +21,11 @@
 }
 
 // TestRandomRolloutsKeepExposureAndVerdict simulates random rollouts of each kind. No bad version
-// may exceed the exposure limits, get requests more than 5 s after its fiftieth bad answer, or be
-// completed after that many. No good version may be reverted, and no completion may cut off a
-// request. A bad version that gave fewer bad answers may be completed: it can't be distinguished
-// from a good one within the allowed exposure.
+// that gave at least ten bad answers may exceed the exposure limits. No bad version may get
+// requests more than 5 s after its fiftieth bad answer, or be completed after fifty. No good
+// version may be reverted, and no completion may cut off a request. A bad version that gave fewer
+// than fifty bad answers may be completed: it can't be distinguished from a good one within the
+// allowed exposure.
 func TestRandomRolloutsKeepExposureAndVerdict(t *testing.T) {
 	for _, kind := range []string{"good", "at once", "later", "on one route", "under load", "slow"} {
 		sum := runScenarios(t, kind, *scenarioRuns)
--- a/internal/rollout/schedule.go
+++ b/internal/rollout/schedule.go
@@ -2,15 +2,19 @@
 
 import "time"
 
-// The schedule gives the candidate only as many requests as its evidence needs for as long as
-// possible, and moves the routes late: a version may turn bad at any time, and what it got before
-// that counts as exposure too. The schedule is computed backwards from the deadline. The last
-// part of the duration is reserved for writing the verdict. When the verdict is written, requests
-// at the standing back ends must have ended, since these back ends stop at once. So all of a
-// route's requests go to the candidate from as long before the verdict as the route's drain
-// takes: the time until the requests that still run at the standing version have ended. During
-// the ramp, rampTime before that, the candidate gets a larger share than before, at which a
-// version that fails only under load shows its failures.
+// For as long as possible, the schedule gives the candidate only as many requests as are needed
+// to judge it, and it moves the routes late: a version may turn bad at any time, and what it got
+// before that counts as exposure too. The schedule is computed backwards from the deadline:
+//
+//   - The last part of the duration is reserved for writing the verdict.
+//   - The standing back ends stop at once when the verdict is written, so the requests that run
+//     there must have ended by then. Therefore all of a route's requests go to the candidate from
+//     one drain before the verdict is due. The drain of a route is the time within which nearly
+//     all of its requests that still run at the standing version end; the verdict waits for the
+//     rest.
+//   - During the ramp, which takes rampTime and ends when all requests go to the candidate, the
+//     candidate gets a larger share than before, so that a version that fails only under load
+//     shows its failures.
 //
 // Example: an order of 12 s, streams that take 2 s and calls that take 60 ms, both exponentially
 // distributed, so that the standard deviation equals the mean. The drain of the streams is
@@ -22,8 +26,8 @@
 	finishDivisor = 12
 	minFinish     = time.Second
 	// rampShare is the share of a route's requests that the candidate gets during the ramp, for
-	// the duration divided by rampDivisor, but at least minRamp. Answers and two rounds of
-	// tallies fit into that time.
+	// the duration divided by rampDivisor, but at least minRamp: enough time for answers and two
+	// rounds of tallies.
 	rampShare   = 0.25
 	rampDivisor = 14
 	minRamp     = 800 * time.Millisecond
@@ -36,15 +40,15 @@
 	// of a route of which no complete answer is known yet.
 	maxDrainTenths     = 4
 	unknownDrainTenths = 3
-	// The candidate is tried for at least the duration divided by probationDivisor, whenever its
-	// back ends appear.
+	// Before its share grows, the candidate is tried for at least the duration divided by
+	// probationDivisor, however late its back ends appear.
 	probationDivisor = 10
 	// canaryFraction is the fraction of the allowed exposure that is spent on the first evidence.
 	// The rest covers the larger shares until they are evaluated, and the unevenness of the
 	// assignment by hash.
 	canaryFraction = 0.5
-	// maxCanaryShare leaves the standing version at least as many requests as the candidate gets,
-	// to compare with.
+	// maxCanaryShare is the maximum of the canary share. It leaves the standing version at least
+	// as many requests as the candidate gets, to compare with.
 	maxCanaryShare = 0.5
 	// rateSettleTime is the time after the order from which the rate of requests is known well
 	// enough.
@@ -58,13 +62,14 @@
 	return min(max(duration/time.Duration(divisor), least), duration/4)
 }
 
-// completeAt returns the time after the order at which a good candidate's verdict is written.
+// completeAt returns the earliest time after the order at which a good candidate's verdict is
+// written.
 func (j *Judge) completeAt() time.Duration {
 	return j.order.Duration - j.fraction(finishDivisor, minFinish)
 }
 
 // fullAt returns the time after the order from which all of a route's requests go to the
-// candidate.
+// candidate: one drain before completeAt, but not before the end of the probation and the ramp.
 func (j *Judge) fullAt(route uint32) time.Duration {
 	drain := j.order.Duration * unknownDrainTenths / 10
 	if bound, known := j.requestTimeBound(route); known {
--- a/internal/rollout/sequential.go
+++ b/internal/rollout/sequential.go
@@ -7,11 +7,11 @@
 )
 
 // The test decides whether the candidate's rate of bad answers is acceptable, given the standing
-// version's rate, or higher by one of rateIncreases. It does so for failures and for slow
-// answers, for each route and for all routes together. It is a sequential probability ratio test.
-// It is repeated as tallies change, over the whole order and over the spans from several earlier
-// times until now, so that the good beginning of a version that turns bad late doesn't count in
-// its favour.
+// version's rate, or exceeds the acceptable rate by one of rateIncreases. It does so for failures
+// and for slow answers, for each route and for all routes together. It is a sequential probability
+// ratio test. It is repeated as tallies change, over the whole order and over the spans from
+// several earlier times until now, so that the good beginning of a version that turns bad late
+// doesn't count in its favour.
 //
 // On each side the group of back ends with the most bad answers is left out. A single machine
 // that fails, as machines of any version may, must neither count against its version nor excuse
@@ -25,14 +25,16 @@
 
 const (
 	// findingThreshold is the log-likelihood ratio from which a candidate counts as bad. By
-	// Wald's bound one evaluation errs once in e^9, about 8,000 times. About a hundred
-	// evaluations of ten hypotheses over eight spans, which aren't independent, stay below the
-	// limit that at most one good version in a hundred may be reverted.
+	// Wald's bound the probability that one evaluation errs is at most e^-9, about 1 in 8,000. An
+	// order has about a hundred evaluations of ten hypotheses over eight spans. Since these depend
+	// on each other, they stay below the limit that at most one good version in a hundred may be
+	// reverted.
 	findingThreshold = 9
 	// maxDoubt is the log-likelihood ratio up to which a candidate may get a larger share and may
-	// be completed: e^2 is odds of about seven to one that it is bad. A candidate that is still
-	// in doubt near the deadline is reverted, since a bad version that serves alone harms every
-	// caller, and a good one that has to wait harms none.
+	// be completed. At e^2 its answers are about seven times as likely from a bad version as from
+	// an acceptable one. A candidate that is still in doubt near the deadline is reverted, since a
+	// bad version that serves alone harms every caller, and a good one that has to wait harms
+	// none.
 	maxDoubt = 2
 	// A candidate whose rate is at most toleranceFactor times the standing version's plus
 	// toleranceMargin isn't bad: the standing version's rate is only an estimate, and varies
@@ -43,7 +45,8 @@
 	// order, before it counts as doubt: more often than not, one of eight spans contains a run of
 	// bad luck.
 	spanDiscount = 3
-	// priorAnswers and priorBad are the prior for a standing version without answers.
+	// priorAnswers and priorBad are the prior of a rate of bad answers. It is what counts for a
+	// standing version without answers.
 	priorAnswers = 10
 	priorBad     = 0.5
 	// latestPriorBad is added to the failures of the standing version in the latest span. Thirty
@@ -57,9 +60,9 @@
 	// finding: the whole service is in trouble, whatever the version.
 	maxJudgedRate = 0.6
 	// maxAcceptableRate limits the acceptable rate of failures in the latest span: a candidate
-	// that fails more often gets no larger share, whatever the standing version's rate. While the
-	// whole service is in trouble, that is no evidence in favour of either version; afterwards
-	// the standing version may have no answers left to compare with.
+	// that fails clearly more often gets no larger share, whatever the standing version's rate.
+	// While the whole service is in trouble, the failures of one version are no evidence in favour
+	// of the other; afterwards the standing version may have no answers left to compare with.
 	maxAcceptableRate = 0.3
 )
 
@@ -91,9 +94,9 @@
 	return logRatioAbove(candidate, standingRate*toleranceFactor+toleranceMargin)
 }
 
-// logRatioAbove returns how much better the candidate's answers are explained by a rate that is
-// higher than acceptable by one of rateIncreases than by the acceptable rate: the highest of the
-// log-likelihood ratios, and at least 0.
+// logRatioAbove returns the log-likelihood ratio, given the candidate's answers, of a rate that
+// exceeds the acceptable one by one of rateIncreases to the acceptable rate itself: the highest
+// for any of them, and at least 0.
 func logRatioAbove(candidate proportion, acceptable float64) float64 {
 	highest := 0.0
 	for _, increase := range rateIncreases {
@@ -226,8 +229,8 @@
 // latestDoubt returns the doubt because of the candidate's failures in the latest span alone, or
 // 0 if the ratio is below findingThreshold. The failures are compared with the standing version's
 // rate in the same span, if it has enough answers there, so that trouble that is over excuses
-// nothing. This is no finding, since so short a span may contain a short run of bad luck. But
-// while it lasts the candidate gets no larger share and isn't completed.
+// nothing. This is no finding, since so short a span may contain a run of bad luck. But while the
+// doubt lasts, the candidate gets no larger share and isn't completed.
 func (s span) latestDoubt(route uint32, overall proportion) float64 {
 	standing := s.withoutWorst(route, failed, Standing)
 	standing.bad += latestPriorBad
--- a/internal/rollout/simulatedfleet_test.go
+++ b/internal/rollout/simulatedfleet_test.go
@@ -46,8 +46,8 @@
 	onset     time.Duration
 	badRoute  int
 	loadLimit float64
-	// If grey is set, one machine of greySide fails by itself. If slow is set, one machine of
-	// slowSide is slow.
+	// If grey is set, one machine of greySide fails some of its requests, for which its version
+	// isn't to blame. If slow is set, one machine of slowSide is slow.
 	grey, slow         bool
 	greySide, slowSide Side
 	// pathFailures is the rate of requests that fail at every back end.
@@ -169,8 +169,8 @@
 	return Ordered
 }
 
-// exchange gives each gateway the sums of the tallies that the others last reported, and the
-// current mark of a random peer.
+// exchange gives each gateway, once every exchangeTicks, the sums of the tallies that the others
+// last reported, and the current mark of a random peer.
 func (f *simulatedFleet) exchange(step int) {
 	now := at(step)
 	for i, j := range f.judges {
--- a/internal/rollout/tally.go
+++ b/internal/rollout/tally.go
@@ -107,7 +107,7 @@
 	return cmp.Or(cmp.Compare(t.Key.Route, other.Key.Route), cmp.Compare(t.Key.Group, other.Key.Group))
 }
 
-// IsZero reports whether nothing is counted.
+// IsZero reports whether nothing was counted.
 func (t Tally) IsZero() bool { return t == Tally{Key: t.Key} }
 
 // meanProcessingTime returns the mean processing time of the timed answers, or 0 if there are
@@ -127,8 +127,9 @@
 	return Candidate
 }
 
-// increaseSince returns what was counted since an earlier snapshot. If a gateway leaves, its
-// counts are missing from a sum, which may have fallen; then the tally is empty.
+// increaseSince returns what was counted since an earlier snapshot. A sum may fall when a gateway
+// leaves, since that gateway's counts are then missing from it. If it has fallen, the increase is
+// unknown, and increaseSince returns an empty tally.
 func (t Tally) increaseSince(before Tally) Tally {
 	if t.Answers < before.Answers || t.Timed < before.Timed || t.Failed < before.Failed || t.Slow < before.Slow {
 		return Tally{Key: t.Key}
