--- a/internal/coordination/bench_test.go
+++ b/internal/coordination/bench_test.go
@@ -48,7 +48,7 @@
 
 // BenchmarkControlSecond measures about one second of a router's control plane: seven ticks, each
 // followed by a message with a sixteenth of all records, on one link after another. It reports the
-// time for each second and the memory of the node's state.
+// time for each second, the memory of the node's state, and the size of the bundle.
 func BenchmarkControlSecond(b *testing.B) {
 	for _, size := range []benchSize{{4, 1, 22, 6}, {85, 5, 33, 9}, {170, 5, 66, 9}, {340, 5, 132, 9}} {
 		b.Run(fmt.Sprintf("nodes=%d", size.routers+size.pools*size.engines), func(b *testing.B) {
--- a/internal/coordination/config.go
+++ b/internal/coordination/config.go
@@ -13,20 +13,21 @@
 	// TickPeriod is the interval between ticks, and the shortest interval between regular
 	// messages on a link. Default 150ms.
 	TickPeriod time.Duration
-	// GossipPerMember is the interval between messages on a link for each member of the node's
-	// pool, up to GossipPeriod. A small pool can afford to send every change, and needs to, since
-	// one request is a larger part of its load. Default 28ms.
+	// GossipPerMember times the number of members of the node's pool is the shortest interval
+	// between messages on a link, up to GossipPeriod. A small pool can afford to send every change,
+	// and needs to, since one request is a larger part of its load. Default 28ms.
 	GossipPerMember time.Duration
 	// GossipPeriod is the longest interval between messages on a link while records are pending.
 	// A shorter one spreads loads faster and costs more messages. Default 500ms.
 	GossipPeriod time.Duration
-	// HeartbeatPeriod is the longest interval between messages on a link. Default 1s.
+	// HeartbeatPeriod is the longest interval between messages on a link, and between an agent's
+	// updates of its own record. Default 1s.
 	HeartbeatPeriod time.Duration
-	// AgentHeartbeatPerMember is the shortest interval between an agent's load reports for each
-	// member of its pool, up to HeartbeatPeriod. Default 55ms.
+	// AgentHeartbeatPerMember times the number of members of an agent's pool is the shortest
+	// interval between the agent's load reports, up to HeartbeatPeriod. Default 55ms.
 	AgentHeartbeatPerMember time.Duration
-	// RouterHeartbeatPerRouter is the interval between a router's records for each known router.
-	// The interval is never shorter than HeartbeatPeriod. Default 30ms.
+	// RouterHeartbeatPerRouter times the number of other known routers is the interval between a
+	// router's updates of its own record, but at least HeartbeatPeriod. Default 30ms.
 	RouterHeartbeatPerRouter time.Duration
 	// RecordsPerPeriod limits the records that a node sends in one round of gossip. The links
 	// share it equally; each may carry at least two. Default 48.
@@ -42,9 +43,9 @@
 	// MachineListPeriod is the interval between a watcher's reads of the machine list. Default 3s.
 	MachineListPeriod time.Duration
 	// JoinPeers and JoinWait limit how long a new node that can't reach the platform waits before
-	// it trusts the highest bundle of its peers: until it has heard from JoinPeers peers, or until
-	// JoinWait after the first one. A node without a bundle reads the platform itself after half to
-	// one and a half times JoinWait. Defaults 3 and 3s.
+	// it trusts the highest bundle of its peers: until it has heard from JoinPeers peers that have a
+	// bundle, or until JoinWait after the first of them. A node without a bundle reads the platform
+	// itself after half to one and a half times JoinWait. Defaults 3 and 3s.
 	JoinPeers int
 	JoinWait  time.Duration
 	// FetchTimeout is how long a node waits for a bundle that it requested from a peer before it
--- a/internal/coordination/events.go
+++ b/internal/coordination/events.go
@@ -69,7 +69,8 @@
 	Unchanged bool
 	// Version is the object's version.
 	Version uint64
-	// RequestedAt is when the read was sent. The answer was correct at some moment after it.
+	// RequestedAt is when the read was sent. The answer was correct at some moment after it, so a
+	// confirmation with this time is never dated too late.
 	RequestedAt time.Time
 }
 
--- a/internal/coordination/gossip.go
+++ b/internal/coordination/gossip.go
@@ -60,8 +60,9 @@
 	return actions
 }
 
-// gossipPeriod returns the shortest interval between messages on a link while the bundle state is
-// unchanged. It is reduced by half a tick, so that a tick that occurs slightly early still counts.
+// gossipPeriod returns the shortest interval between gossip messages on a link while the bundle
+// state is unchanged. It is reduced by half a tick, so that a tick that occurs slightly early still
+// counts.
 func (n *Node) gossipPeriod() time.Duration {
 	period := n.config.GossipPeriod
 	if pool := n.ownPool(); pool != nil {
@@ -96,7 +97,8 @@
 // A router needs all records. An agent needs to know that each router exists, in case all routers
 // in its zone are gone, but it needs heartbeats only from the routers in its zone. It also needs
 // the loads of its own pool. It gets these from the pool's own ring, so a router forwards to it
-// only which members are leaving or have left.
+// only which members are leaving or have left. A peer that is not in the table yet is treated as an
+// agent.
 func (n *Node) recordFilter(l *link) membership.Filter {
 	peer := n.table.Entry(l.peer)
 	peerIsRouter := peer != nil && peer.Role == membership.RoleRouter
@@ -184,7 +186,7 @@
 // noteBundleNumber records the peer's bundle number and its confirmation. The time of the
 // confirmation is computed from the echoed stamp and not from the arrival of the message: the
 // message may have waited in a buffer, and a confirmation dated too late would extend the lease
-// beyond its end.
+// beyond its end. For the same reason, a message without an echo confirms nothing.
 func (n *Node) noteBundleNumber(message Message) {
 	n.acceptor.ObserveNumber(message.Number)
 	if message.ConfirmedAgeMillis >= 0 && message.Echo > 0 {
--- a/internal/coordination/message.go
+++ b/internal/coordination/message.go
@@ -26,7 +26,7 @@
 	// ConfirmedAgeMillis is how long ago Number was last known to be the platform's newest, or -1
 	// if it never was.
 	ConfirmedAgeMillis int64
-	// Stamp is the time in milliseconds since the sender's start, at least 1.
+	// Stamp is the time since the sender's start in milliseconds, plus 1, so that it is never 0.
 	Stamp int64
 	// Echo is the latest Stamp that the sender received on this link, or 0. It proves that this
 	// message was created after that moment of the receiver's clock, however long the message has
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -40,8 +40,9 @@
 	stamp int64
 }
 
-// bundleState is the information on the bundle in a message whose change is sent at the next tick,
-// without waiting for the gossip period.
+// bundleState holds the number of the bundle in force, and whether it was ever confirmed as the
+// newest. If it changes, each link gets a message at the next tick at the latest, without waiting
+// for the gossip period.
 type bundleState struct {
 	number    uint64
 	confirmed bool
@@ -124,12 +125,13 @@
 // boolean is false if it never was.
 func (n *Node) ConfirmedAge(now time.Time) (time.Duration, bool) { return n.acceptor.ConfirmedAge(now) }
 
-// ContactAge returns how long ago this node last heard from any peer. The contacts that senders of
-// piggybacked records report count too.
+// ContactAge returns how long ago this node last heard from any peer, or the time since its start
+// if it never did. The contacts that senders of piggybacked records report count too.
 func (n *Node) ContactAge(now time.Time) time.Duration { return now.Sub(n.contactAt) }
 
 // HasFreshContact reports whether a peer is known to have sent a message since the process last
-// resumed after a pause. Until then the node must not rely on its state.
+// resumed after a pause. Until then the node must not rely on its state. The result is true if the
+// process was never paused.
 func (n *Node) HasFreshContact() bool { return !n.clock.lastEchoAt.Before(n.clock.resumedAt) }
 
 // RunningSince returns when the process started or last resumed after a pause. Information from
@@ -149,8 +151,9 @@
 	return n.join.done
 }
 
-// updateJoin completes the join once the node has the highest bundle that it heard of, and the
-// platform answered, enough peers were heard from, or JoinWait has passed since the first one.
+// updateJoin completes the join once two conditions hold: the node has the highest bundle that it
+// heard of; and the platform answered, JoinPeers peers were heard from, or JoinWait has passed since
+// the first of them.
 func (n *Node) updateJoin(now time.Time) {
 	if n.join.done || n.Bundle() == nil || n.acceptor.Behind() {
 		return
@@ -225,8 +228,8 @@
 	return append(actions, n.readPlatform(now)...)
 }
 
-// heartbeat updates the node's own record if its load or bundle has changed or the longest
-// heartbeat period has passed.
+// heartbeat updates the node's own record if the longest heartbeat period has passed, or if the
+// load or the bundle has changed and the shortest one has passed.
 func (n *Node) heartbeat(now time.Time) {
 	shortest, longest := n.heartbeatPeriods()
 	since := now.Sub(n.heartbeatAt)
@@ -239,8 +242,10 @@
 }
 
 // heartbeatPeriods returns the shortest interval between heartbeats, for a changed record, and the
-// longest, for an unchanged one. They grow with the number of nodes that each heartbeat must reach,
-// so that the number of records that a node receives each second stays bounded.
+// longest, for an unchanged one. Both intervals of a router grow with the number of routers. The
+// shortest interval of an agent grows with its pool, up to HeartbeatPeriod. These are the nodes that
+// each heartbeat must reach, so the growth limits the number of records that a node receives each
+// second.
 func (n *Node) heartbeatPeriods() (shortest, longest time.Duration) {
 	if n.identity.Role == membership.RoleRouter {
 		longest = max(n.config.HeartbeatPeriod, time.Duration(n.routerCount)*n.config.RouterHeartbeatPerRouter)
--- a/internal/coordination/pause.go
+++ b/internal/coordination/pause.go
@@ -49,8 +49,10 @@
 }
 
 // recordEcho records an echo and returns the duration to add to the ages in its message. It is
-// zero in normal operation. If the message may be from before a pause, it is the whole time since
-// the echoed stamp, or since the start if nothing was echoed.
+// zero in normal operation. If the echoed stamp is from before a pause, the message may be too, and
+// the duration is the whole time since that stamp. After a pause, it is the whole time since the
+// start for a message without an echo, until an echo of a stamp made after the pause has arrived on
+// any link.
 func (c *pauseClock) recordEcho(now time.Time, echo int64) time.Duration {
 	if echo == 0 {
 		if c.lastEchoAt.Before(c.resumedAt) {
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -17,7 +17,7 @@
 type peer struct {
 	id      string
 	address string
-	// alive is false while the node is silent or unreachable.
+	// alive is false while the node is silent or, if it is an agent, unreachable.
 	alive bool
 }
 
@@ -40,10 +40,10 @@
 // dialed and no longer wants.
 //
 // Each group of nodes (the agents of a pool, the routers of a zone, all routers) forms a ring in
-// hash order, so its graph is connected regardless of the other links. One chord per node keeps
-// paths short. The ring over the alive nodes lets gossip continue at once when some nodes have
-// died. The ring over all nodes, silent ones included, reconnects partitions that had lost contact
-// with each other. An agent also links to a router of its zone, which connects the pools.
+// hash order, so its graph is connected regardless of the other links. One chord per node in each
+// ring keeps paths short. The ring over the alive nodes lets gossip continue at once when some nodes
+// have died. The ring over all nodes, silent ones included, reconnects partitions that had lost
+// contact with each other. An agent also links to a router of its zone, which connects the pools.
 func (n *Node) connectPeers(now time.Time) []Action {
 	wanted := n.wantedPeers(now)
 	if len(wanted) == 0 && len(n.links) == 0 {
--- a/internal/coordination/platform.go
+++ b/internal/coordination/platform.go
@@ -98,7 +98,7 @@
 		return nil
 	}
 	if event.Raw == nil {
-		// Nothing has been published yet; read again after one heartbeat period.
+		// Nothing has been published yet; a watcher reads again after one heartbeat period.
 		n.platform.notBefore = now.Add(n.config.HeartbeatPeriod)
 		return nil
 	}
@@ -148,8 +148,9 @@
 	n.platform.notBefore = now.Add(time.Duration(jitter * float64(n.platform.backoff)))
 }
 
-// machineList uses the list as a hint: unknown routers in it are added and may be dialed, and a
-// node that it shows as leaving is marked so, gets no new work, and learns of it by gossip.
+// machineList uses the list as a hint. Unknown routers in it that are not leaving are added and may
+// be dialed. A known node that it shows as leaving is marked so, gets no new work, and learns of it
+// by gossip. If it shows this node as leaving, the node leaves.
 func (n *Node) machineList(now time.Time, event MachineList) {
 	for _, machine := range event.Machines {
 		if machine.ID == n.identity.ID {
--- a/internal/membership/damping.go
+++ b/internal/membership/damping.go
@@ -46,7 +46,7 @@
 	return d.suppressed
 }
 
-// decay reduces the penalty by the time since the last call.
+// decay reduces the penalty according to the time since the last call.
 func (d *damper) decay(now time.Time) {
 	if !d.decayedAt.IsZero() {
 		halvings := now.Sub(d.decayedAt).Seconds() / penaltyHalfLife.Seconds()
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -68,7 +68,8 @@
 // Self returns the node's own record.
 func (t *Table) Self() Record { return t.self }
 
-// Version returns a number that changes with every change of the table's content.
+// Version returns a number that changes with every change of the table's content. Superseded is not
+// part of that content.
 func (t *Table) Version() uint64 { return t.version }
 
 // Superseded reports whether a record of another process with this node's ID and a higher
@@ -98,7 +99,8 @@
 // Len returns the number of other nodes in the table.
 func (t *Table) Len() int { return len(t.ordered) }
 
-// Merge merges records received at now, and returns the entries that were added or updated.
+// Merge merges records whose ages are relative to now, and returns the entries that were added or
+// updated.
 func (t *Table) Merge(now time.Time, records []Record) []*Entry {
 	var updated []*Entry
 	for _, record := range records {
@@ -203,7 +205,8 @@
 const (
 	// Alive nodes are serving and were heard from recently.
 	Alive Liveness = iota
-	// Flapping nodes are serving and were heard from recently, but were lost several times before.
+	// Flapping nodes are serving and were heard from recently, but were lost several times within
+	// a short time.
 	Flapping
 	// Doubtful nodes are silent or unreachable.
 	Doubtful
