--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -29,11 +29,11 @@
 	OwnerWait time.Duration
 	// LastWait is how long a request may wait for it whose router makes no further
 	// attempt. Default 4s, two windows of the mean.
-	LastWait time.Duration
+	LastAttemptWait time.Duration
 	// KeyCapacity is the number of keys remembered, ReplyBytes the memory of
 	// their kept answers. Defaults 20000 and 8 MiB.
-	KeyCapacity int
-	ReplyBytes  int
+	KeyCapacity   int
+	MaxReplyBytes int
 	// Disable switches mechanisms off to show that the checkers notice.
 	Disable Disable
 }
@@ -55,13 +55,13 @@
 // DefaultConfig returns the defaults for the node.
 func DefaultConfig(identity coordination.Identity) Config {
 	return Config{
-		Identity:      identity,
-		Coordination:  coordination.DefaultConfig(),
-		IsolatedAfter: 5 * time.Second,
-		OwnerWait:     2 * time.Second,
-		LastWait:      4 * time.Second,
-		KeyCapacity:   20_000,
-		ReplyBytes:    8 << 20,
+		Identity:        identity,
+		Coordination:    coordination.DefaultConfig(),
+		IsolatedAfter:   5 * time.Second,
+		OwnerWait:       2 * time.Second,
+		LastAttemptWait: 4 * time.Second,
+		KeyCapacity:     20_000,
+		MaxReplyBytes:   8 << 20,
 	}
 }
 
@@ -69,7 +69,7 @@
 const defaultClockError = 2 * time.Second
 
 // newsRecords is the number of records that ride on one answer.
-const newsRecords = 4
+const maxPiggybackedRecords = 4
 
 // Core decides for one agent. It is not safe for concurrent use.
 type Core struct {
@@ -91,21 +91,21 @@
 
 // New returns the core of an agent that starts at the time.
 func New(config Config, open coordination.Opener, acceptor *bundle.Acceptor, now time.Time) *Core {
-	once := admission.KeyTableConfig{
+	keyTable := admission.KeyTableConfig{
 		StartedAt:     now,
 		ClockError:    defaultClockError,
 		Retention:     bundle.KeyRetention,
 		Capacity:      config.KeyCapacity,
-		MaxReplyBytes: config.ReplyBytes,
+		MaxReplyBytes: config.MaxReplyBytes,
 		Disabled:      config.Disable.Keys,
 	}
 	if config.Disable.KeyAge {
-		once.StartedAt = time.Time{}
+		keyTable.StartedAt = time.Time{}
 	}
 	return &Core{
 		config:      config,
 		node:        coordination.NewNode(config.Coordination, config.Identity, open, acceptor, now),
-		gate:        admission.NewGate(admission.Config{}, once),
+		gate:        admission.NewGate(admission.Config{}, keyTable),
 		incarnation: membership.IncarnationAt(now),
 	}
 }
@@ -137,14 +137,14 @@
 			effects.Requests = append(effects.Requests, c.adopt(now, adopted.Bundle)...)
 		}
 	}
-	return c.settle(now, effects)
+	return c.synchronize(now, effects)
 }
 
 // Tick lets time-based decisions take place. It comes once a tick period.
 func (c *Core) Tick(now time.Time) Effects {
 	effects := c.Control(now, coordination.Tick{})
 	effects.Requests = append(effects.Requests, c.gate.Step(now, admission.Tick{})...)
-	return c.settle(now, effects)
+	return c.synchronize(now, effects)
 }
 
 // Arrive takes a request from a router under the identifier that the owner
@@ -154,9 +154,9 @@
 		c.node.Step(now, coordination.NodeUnreachable{ID: member})
 	}
 	effects := c.Control(now, coordination.PiggybackedRecords{
-		Records:    head.News.Records,
-		Number:     head.News.Number,
-		ContactAge: time.Duration(head.News.ContactAgeMillis) * time.Millisecond,
+		Records:    head.Piggyback.Records,
+		Number:     head.Piggyback.Number,
+		ContactAge: time.Duration(head.Piggyback.ContactAgeMillis) * time.Millisecond,
 	})
 	if kind, refused := c.refusal(now, head); refused {
 		refuse := admission.Refuse{ID: id, Kind: kind, Load: c.gate.Load()}
@@ -165,35 +165,35 @@
 	}
 	request := c.request(now, id, head)
 	effects.Requests = append(effects.Requests, c.gate.Step(now, admission.Arrive{Request: request})...)
-	return c.settle(now, effects)
+	return c.synchronize(now, effects)
 }
 
 // Finished ends a request that was started.
 func (c *Core) Finished(now time.Time, event admission.Finished) Effects {
-	return c.settle(now, Effects{Requests: c.gate.Step(now, event)})
+	return c.synchronize(now, Effects{Requests: c.gate.Step(now, event)})
 }
 
 // Noticed takes what an answer of the back end says of the back end itself: that it leaves, and
 // for how long it wants nothing; 0 when it doesn't say. A back end that leaves gets nothing that
 // waits at the gate either: that could reach it long after it has gone.
-func (c *Core) Noticed(now time.Time, leaving bool, rest time.Duration) Effects {
+func (c *Core) ApplyNotice(now time.Time, leaving bool, retryAfter time.Duration) Effects {
 	var effects Effects
 	if leaving && !c.gate.IsLeaving() {
 		effects = c.Control(now, coordination.LocalState{State: membership.StateLeaving})
-		rest = forGood
+		retryAfter = leavingBackOff
 	}
-	if rest > 0 {
-		effects.Requests = append(effects.Requests, c.gate.Step(now, admission.BackOff{For: rest})...)
+	if retryAfter > 0 {
+		effects.Requests = append(effects.Requests, c.gate.Step(now, admission.BackOff{For: retryAfter})...)
 	}
 	return effects
 }
 
 // forGood is longer than any agent runs beside a back end that leaves.
-const forGood = 24 * time.Hour
+const leavingBackOff = 24 * time.Hour
 
 // Cancelled says that the caller left before the request was started.
 func (c *Core) Cancelled(now time.Time, id admission.RequestID) Effects {
-	return c.settle(now, Effects{Requests: c.gate.Step(now, admission.Cancelled{ID: id})})
+	return c.synchronize(now, Effects{Requests: c.gate.Step(now, admission.Cancelled{ID: id})})
 }
 
 // refusal tells whether the request must not reach the gate, and why.
@@ -203,7 +203,7 @@
 		return failure.WrongOwner, true
 	case !c.node.Ready(now) || c.Pool() == nil:
 		return failure.NotReady, true
-	case c.isIsolated(now), c.isJustAwake():
+	case c.isIsolated(now), c.lacksFreshContact():
 		return failure.NotReady, true
 	case head.Key != "":
 		return c.keyRefusal(now, head)
@@ -220,7 +220,7 @@
 
 // isJustAwake tells whether the process was paused and has heard from no peer
 // since: what it knows of the pool's loads and of its own standing is old.
-func (c *Core) isJustAwake() bool {
+func (c *Core) lacksFreshContact() bool {
 	return !c.node.HasFreshContact()
 }
 
@@ -249,10 +249,10 @@
 		Priority:    head.Priority,
 		Deadline:    now.Add(head.Remaining()),
 		Affine:      head.Affine,
-		LastAttempt: head.Last,
+		LastAttempt: head.LastAttempt,
 	}
-	for _, met := range head.LoadsMet {
-		request.Evidence = append(request.Evidence, admission.ObservedLoad{Member: met.BackEnd, Load: met.Load, At: now.Add(-time.Duration(met.AgeMillis) * time.Millisecond)})
+	for _, reported := range head.ReportedLoads {
+		request.Evidence = append(request.Evidence, admission.ObservedLoad{Member: reported.BackEnd, Load: reported.Load, At: now.Add(-time.Duration(reported.AgeMillis) * time.Millisecond)})
 	}
 	if head.Key != "" {
 		request.Key = &admission.Key{
@@ -283,7 +283,7 @@
 		},
 		AffinityWait:    pool.AffinityWait.Std(),
 		OwnerWait:       c.config.OwnerWait,
-		LastAttemptWait: c.config.LastWait,
+		LastAttemptWait: c.config.LastAttemptWait,
 		MaxRunning:      pool.MaxRunning,
 		MaxQueued:       pool.MaxQueued,
 		Weights:         weights,
@@ -300,7 +300,7 @@
 
 // settle carries changes of one part to the other: what the table heard reaches
 // the gate, and the gate's load and state reach the next record.
-func (c *Core) settle(now time.Time, effects Effects) Effects {
+func (c *Core) synchronize(now time.Time, effects Effects) Effects {
 	mustLeave := c.node.Table().Self().State != membership.StateServing || c.node.Table().Superseded()
 	if mustLeave && !c.gate.IsLeaving() {
 		effects.Requests = append(effects.Requests, c.leave(now)...)
@@ -319,7 +319,7 @@
 // Reply returns what goes back to the router beside the answer. refused is nil
 // when the answer is the back end's.
 func (c *Core) Reply(now time.Time, refused *admission.Refuse) hop.Reply {
-	reply := hop.Reply{Load: c.gate.Load(), Incarnation: c.incarnation, News: c.news(now)}
+	reply := hop.Reply{Load: c.gate.Load(), Incarnation: c.incarnation, Piggyback: c.piggyback(now)}
 	if refused != nil {
 		reply.Refused = true
 		reply.Kind = refused.Kind.String()
@@ -329,19 +329,19 @@
 	return reply
 }
 
-func (c *Core) news(now time.Time) hop.News {
-	news := hop.News{ContactAgeMillis: c.node.ContactAge(now).Milliseconds()}
+func (c *Core) piggyback(now time.Time) hop.Piggyback {
+	piggyback := hop.Piggyback{ContactAgeMillis: c.node.ContactAge(now).Milliseconds()}
 	current := c.node.Bundle()
 	if current == nil {
-		return news
+		return piggyback
 	}
-	news.Number = current.Number
+	piggyback.Number = current.Number
 	if pool := c.Pool(); pool != nil {
-		news.Records = c.node.Table().Freshest(now, newsRecords, pool.MemberIDs())
+		piggyback.Records = c.node.Table().Freshest(now, maxPiggybackedRecords, pool.MemberIDs())
 	}
 	// The record of the node itself shows the load of this very moment.
-	if len(news.Records) > 0 && news.Records[0].ID == c.config.Identity.ID {
-		news.Records[0].Load = uint32(c.gate.Load())
+	if len(piggyback.Records) > 0 && piggyback.Records[0].ID == c.config.Identity.ID {
+		piggyback.Records[0].Load = uint32(c.gate.Load())
 	}
-	return news
+	return piggyback
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -55,11 +55,11 @@
 }
 
 func head(now time.Time) hop.Head {
-	return hop.Head{BackEnd: "a", Tenant: "t", RemainingMillis: 60_000, News: hop.News{Number: 1}}
+	return hop.Head{BackEnd: "a", Tenant: "t", RemainingMillis: 60_000, Piggyback: hop.Piggyback{Number: 1}}
 }
 
 // word returns what the effects say about a request.
-func word(effects Effects) any {
+func firstDecision(effects Effects) any {
 	for _, action := range effects.Requests {
 		switch a := action.(type) {
 		case admission.Refuse:
@@ -71,25 +71,25 @@
 	return nil
 }
 
-func TestAgentRefusesWhatIsMeantForAnother(t *testing.T) {
+func TestRequestForAnotherBackEndIsRefused(t *testing.T) {
 	is := is.New(t)
 	core := newAgent(t, start)
 	wrong := head(start)
 	wrong.BackEnd = "b"
-	is.Equal(word(core.Arrive(start, 1, wrong)), failure.WrongOwner)
-	is.Equal(word(core.Arrive(start, 2, head(start))), "start")
+	is.Equal(firstDecision(core.Arrive(start, 1, wrong)), failure.WrongOwner)
+	is.Equal(firstDecision(core.Arrive(start, 2, head(start))), "start")
 }
 
-func TestDeadMembersLoadDoesNotHoldDownTheBound(t *testing.T) {
+func TestDeadMemberIsExcludedFromBound(t *testing.T) {
 	is := is.New(t)
 	core := newAgent(t, start)
 	core.Control(start, coordination.PiggybackedRecords{Records: []membership.Record{{ID: "b", Incarnation: 1, Load: 0}}})
 	now := start.Add(1500 * time.Millisecond)
-	is.Equal(word(core.Arrive(now, 1, head(now))), "start")
-	is.Equal(word(core.Arrive(now, 2, head(now))), failure.OverBound) // b may be idle, and what is known of it is old
+	is.Equal(firstDecision(core.Arrive(now, 1, head(now))), "start")
+	is.Equal(firstDecision(core.Arrive(now, 2, head(now))), failure.OverBound) // b may be idle, and what is known of it is old
 	reported := head(now)
 	reported.Unreachable = []string{"b"}
-	is.Equal(word(core.Arrive(now, 3, reported)), "start") // silent for the window, and a router can't reach it
+	is.Equal(firstDecision(core.Arrive(now, 3, reported)), "start") // silent for the window, and a router can't reach it
 }
 
 func keyedHead(now time.Time, owner string) hop.Head {
@@ -109,12 +109,12 @@
 	core := newAgent(t, start)
 	now := start.Add(10 * time.Second)
 	tickTo(core, start, now)
-	is.Equal(word(core.Arrive(now, 1, keyedHead(now, "b"))), failure.WrongOwner)
-	is.Equal(word(core.Arrive(now, 2, keyedHead(now, "a"))), "start")
+	is.Equal(firstDecision(core.Arrive(now, 1, keyedHead(now, "b"))), failure.WrongOwner)
+	is.Equal(firstDecision(core.Arrive(now, 2, keyedHead(now, "a"))), "start")
 	late := now.Add(time.Minute)
 	tickTo(core, now, late)
 	contact := keyedHead(late, "a")
-	is.Equal(word(core.Arrive(late, 3, contact)), failure.LeaseLapsed) // nothing confirmed for over a minute
+	is.Equal(firstDecision(core.Arrive(late, 3, contact)), failure.LeaseLapsed) // nothing confirmed for over a minute
 }
 
 func TestPausedAgentWaitsForFreshContact(t *testing.T) {
@@ -123,15 +123,15 @@
 	core.Control(start, coordination.LinkUp{Link: 1, Peer: "b"})
 	now := start.Add(10 * time.Second)
 	tickTo(core, start, now)
-	thawed := now.Add(20 * time.Second)                                              // no ticks: the process was paused
-	is.Equal(word(core.Arrive(thawed, 1, keyedHead(thawed, "a"))), failure.NotReady) // nobody was heard since
+	resumed := now.Add(20 * time.Second)                                                        // no ticks: the process was paused
+	is.Equal(firstDecision(core.Arrive(resumed, 1, keyedHead(resumed, "a"))), failure.NotReady) // nobody was heard since
 	// A message that lay in the buffer echoes a stamp from before the pause.
 	old := coordination.Message{From: "b", Number: 1, ConfirmedAgeMillis: 0, Stamp: 1, Echo: 5000}
-	core.Control(thawed, coordination.Received{Link: 1, Message: old})
-	is.Equal(word(core.Arrive(thawed, 2, keyedHead(thawed, "a"))), failure.NotReady)
+	core.Control(resumed, coordination.Received{Link: 1, Message: old})
+	is.Equal(firstDecision(core.Arrive(resumed, 2, keyedHead(resumed, "a"))), failure.NotReady)
 	fresh := coordination.Message{From: "b", Number: 1, ConfirmedAgeMillis: 0, Stamp: 2, Echo: 30_001 + 50}
-	core.Control(thawed.Add(100*time.Millisecond), coordination.Received{Link: 1, Message: fresh})
-	is.Equal(word(core.Arrive(thawed.Add(100*time.Millisecond), 3, keyedHead(thawed, "a"))), "start")
+	core.Control(resumed.Add(100*time.Millisecond), coordination.Received{Link: 1, Message: fresh})
+	is.Equal(firstDecision(core.Arrive(resumed.Add(100*time.Millisecond), 3, keyedHead(resumed, "a"))), "start")
 }
 
 func TestIsolatedAgentTakesNoNewWork(t *testing.T) {
@@ -140,14 +140,14 @@
 	now := start.Add(6 * time.Second)
 	tickTo(core, start, now)
 	isolated := head(now)
-	isolated.News.ContactAgeMillis = 6000 // the router hears from nobody either
-	is.Equal(word(core.Arrive(now, 1, isolated)), failure.NotReady)
-	is.Equal(word(core.Arrive(now, 2, head(now))), "start") // this router does
+	isolated.Piggyback.ContactAgeMillis = 6000 // the router hears from nobody either
+	is.Equal(firstDecision(core.Arrive(now, 1, isolated)), failure.NotReady)
+	is.Equal(firstDecision(core.Arrive(now, 2, head(now))), "start") // this router does
 }
 
-func TestAgentLeavesWhenToldByAnyone(t *testing.T) {
+func TestAgentLeavesOnAnyLeavingSignal(t *testing.T) {
 	incarnation := membership.IncarnationAt(start)
-	tell := map[string]func(core *Core){
+	signals := map[string]func(core *Core){
 		"signal": func(c *Core) { c.Control(start, coordination.LocalState{State: membership.StateLeaving}) },
 		"machine list": func(c *Core) {
 			c.Control(start, coordination.MachineList{Machines: []coordination.Machine{{ID: "a", Leaving: true}}})
@@ -162,12 +162,12 @@
 			c.Control(start, coordination.PiggybackedRecords{Records: []membership.Record{{ID: "a", Incarnation: incarnation + 1}}})
 		},
 	}
-	for name, how := range tell {
+	for name, send := range signals {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			core := newAgent(t, start)
-			how(core)
-			is.Equal(word(core.Arrive(start, 1, head(start))), failure.Leaving)
+			send(core)
+			is.Equal(firstDecision(core.Arrive(start, 1, head(start))), failure.Leaving)
 			is.Equal(core.Node().Table().Self().State, membership.StateLeaving)
 		})
 	}
--- a/internal/agent/agenthttp/forward.go
+++ b/internal/agent/agenthttp/forward.go
@@ -21,13 +21,13 @@
 )
 
 // maxKeptReply bounds the answer that is kept for a repeat, in bytes.
-const maxKeptReply = 64 << 10
+const maxStoredReply = 64 << 10
 
 // keptReplyOverhead is the rough memory of a kept answer beside its body.
-const keptReplyOverhead = 1 << 10
+const storedReplyOverhead = 1 << 10
 
 // keptReply is a whole answer under an idempotency key.
-type keptReply struct {
+type storedReply struct {
 	status int
 	header http.Header
 	body   []byte
@@ -47,11 +47,11 @@
 	response, err := s.callBackEnd(ctx, r, head)
 	if err != nil {
 		finished.NotRun = hop.NothingSent(err)
-		s.answerLost(w, head, err, finished.NotRun)
+		s.answerBackEndFailure(w, head, err, finished.NotRun)
 		return
 	}
 	defer response.Body.Close()
-	s.takeNotice(response)
+	s.applyNotice(response)
 	finished.Outcome = s.passOn(w, response, r.URL.Path, head)
 }
 
@@ -67,7 +67,7 @@
 }
 
 // answerLost tells that the back end gave no answer.
-func (s *Server) answerLost(w http.ResponseWriter, head hop.Head, cause error, notRun bool) {
+func (s *Server) answerBackEndFailure(w http.ResponseWriter, head hop.Head, cause error, notRun bool) {
 	s.config.Log.WithFields(logrus.Fields{"request": head.RequestID, "not_run": notRun}).WithError(cause).Warn("no answer from the back end")
 	if notRun {
 		s.answerRefusal(w, admission.Refuse{Kind: failure.BackendUnreachable})
@@ -83,37 +83,37 @@
 	hop.CopyAnswerHeaders(w.Header(), response)
 	s.setReply(w.Header(), nil)
 	w.WriteHeader(response.StatusCode)
-	kept := &replyKeeper{enabled: head.Key != ""}
+	recorder := &replyRecorder{enabled: head.Key != ""}
 	copier := hop.NewCopier(path, response.Header)
-	copier.Observe = kept.observe
+	copier.Observe = recorder.observe
 	if err := copier.Copy(w, response.Body); err != nil {
 		s.config.Log.WithField("request", head.RequestID).WithError(err).Info("answer broke off")
 		if head.Key != "" && hop.ReceiverGone(err) {
 			// The run went on without its caller; take the rest of the answer.
-			if _, err := io.Copy(kept, response.Body); err == nil {
-				return kept.outcome(response)
+			if _, err := io.Copy(recorder, response.Body); err == nil {
+				return recorder.outcome(response)
 			}
 		}
 		panic(http.ErrAbortHandler)
 	}
-	return kept.outcome(response)
+	return recorder.outcome(response)
 }
 
 // replyKeeper keeps an answer for a repeat, up to a limit.
-type replyKeeper struct {
+type replyRecorder struct {
 	enabled  bool
 	overflow bool
 	body     bytes.Buffer
 }
 
-func (k *replyKeeper) observe(chunk []byte) { _, _ = k.Write(chunk) }
+func (k *replyRecorder) observe(chunk []byte) { _, _ = k.Write(chunk) }
 
 // Write implements io.Writer; it never fails.
-func (k *replyKeeper) Write(chunk []byte) (int, error) {
+func (k *replyRecorder) Write(chunk []byte) (int, error) {
 	if !k.enabled || k.overflow {
 		return len(chunk), nil
 	}
-	if k.body.Len()+len(chunk) > maxKeptReply {
+	if k.body.Len()+len(chunk) > maxStoredReply {
 		k.overflow = true
 		k.body.Reset()
 		return len(chunk), nil
@@ -121,13 +121,13 @@
 	return k.body.Write(chunk)
 }
 
-func (k *replyKeeper) outcome(response *http.Response) admission.Outcome {
+func (k *replyRecorder) outcome(response *http.Response) admission.Outcome {
 	outcome := admission.Outcome{Known: true}
 	if k.enabled && !k.overflow {
 		header := http.Header{}
 		hop.CopyHeaders(header, response.Header)
-		outcome.Reply = &keptReply{status: response.StatusCode, header: header, body: k.body.Bytes()}
-		outcome.Size = k.body.Len() + keptReplyOverhead
+		outcome.Reply = &storedReply{status: response.StatusCode, header: header, body: k.body.Bytes()}
+		outcome.Size = k.body.Len() + storedReplyOverhead
 	}
 	return outcome
 }
@@ -135,14 +135,14 @@
 // answerReplay sends the first run's answer again.
 func (s *Server) answerReplay(w http.ResponseWriter, outcome admission.Outcome) {
 	s.setReply(w.Header(), nil)
-	kept, ok := outcome.Reply.(*keptReply)
+	stored, ok := outcome.Reply.(*storedReply)
 	if !ok {
 		w.Header().Set(hop.HeaderReplayed, "true")
 		failure.WriteHTTP(w, failure.New(failure.ReplyNotKept, "the request ran under this key; its answer was too large to keep"))
 		return
 	}
-	hop.CopyHeaders(w.Header(), kept.header)
+	hop.CopyHeaders(w.Header(), stored.header)
 	w.Header().Set(hop.HeaderReplayed, "true")
-	w.WriteHeader(kept.status)
-	_, _ = w.Write(kept.body)
+	w.WriteHeader(stored.status)
+	_, _ = w.Write(stored.body)
 }
--- a/internal/agent/agenthttp/notice.go
+++ b/internal/agent/agenthttp/notice.go
@@ -14,23 +14,23 @@
 	// headerLeaving is in all answers of one that leaves.
 	headerLeaving = "X-Leaving"
 	// headerRest is in refusals of one that wants nothing for so many seconds.
-	headerRest = "Retry-After"
+	headerRetryAfter = "Retry-After"
 )
 
 // takeNotice takes what an answer says of the back end itself.
-func (s *Server) takeNotice(response *http.Response) {
+func (s *Server) applyNotice(response *http.Response) {
 	leaving := response.Header.Get(headerLeaving) != ""
-	rest := time.Duration(0)
+	retryAfter := time.Duration(0)
 	if response.StatusCode == http.StatusServiceUnavailable {
-		rest = failure.ParseWait(response.Header.Get(headerRest))
+		retryAfter = failure.ParseWait(response.Header.Get(headerRetryAfter))
 	}
-	if !leaving && rest == 0 {
+	if !leaving && retryAfter == 0 {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !leaving || !s.core.Gate().IsLeaving() {
-		s.config.Log.WithFields(logrus.Fields{"leaving": leaving, "rest_ms": rest.Milliseconds()}).Warn("the back end wants no requests")
+		s.config.Log.WithFields(logrus.Fields{"leaving": leaving, "rest_ms": retryAfter.Milliseconds()}).Warn("the back end wants no requests")
 	}
-	s.perform(s.core.Noticed(time.Now(), leaving, rest))
+	s.perform(s.core.ApplyNotice(time.Now(), leaving, retryAfter))
 }
--- a/internal/agent/agenthttp/server.go
+++ b/internal/agent/agenthttp/server.go
@@ -117,17 +117,17 @@
 		switch a := action.(type) {
 		case admission.Start:
 			s.admitted.Inc(1)
-			s.decide(a.ID, decision{a, now})
+			s.sendDecision(a.ID, decision{a, now})
 		case admission.Refuse:
 			s.refused.Inc(1)
-			s.decide(a.ID, decision{a, now})
+			s.sendDecision(a.ID, decision{a, now})
 		case admission.Replay:
-			s.decide(a.ID, decision{a, now})
+			s.sendDecision(a.ID, decision{a, now})
 		}
 	}
 }
 
-func (s *Server) decide(id admission.RequestID, d decision) {
+func (s *Server) sendDecision(id admission.RequestID, d decision) {
 	if waiting, known := s.pending[id]; known {
 		waiting <- d // the channel holds the one decision a request gets
 		delete(s.pending, id)
@@ -157,7 +157,7 @@
 	id, waiting := s.arrive(head)
 	select {
 	case d := <-waiting:
-		s.carryOut(w, r, head, id, d)
+		s.execute(w, r, head, id, d)
 	case <-r.Context().Done():
 		s.abandon(id, waiting)
 	}
@@ -201,7 +201,7 @@
 // process that was paused between the decision and the call must not make it.
 const maxDecisionAge = 500 * time.Millisecond
 
-func (s *Server) carryOut(w http.ResponseWriter, r *http.Request, head hop.Head, id admission.RequestID, d decision) {
+func (s *Server) execute(w http.ResponseWriter, r *http.Request, head hop.Head, id admission.RequestID, d decision) {
 	switch action := d.action.(type) {
 	case admission.Refuse:
 		s.answerRefusal(w, action)
--- a/internal/agent/observe.go
+++ b/internal/agent/observe.go
@@ -32,31 +32,31 @@
 // load: it counts as idle, which keeps the bound low, until its silence has
 // lasted long enough to mean something.
 func (c *Core) observeMember(now time.Time, pool *bundle.Pool, id string) (load admission.ObservedLoad, counts bool) {
-	awake := c.node.RunningSince()
-	settling := now.Sub(awake) <= c.settleTime(pool)
+	runningSince := c.node.RunningSince()
+	inGrace := now.Sub(runningSince) <= c.silenceGrace(pool)
 	table := c.node.Table()
 	entry := table.Entry(id)
 	if entry == nil {
-		return admission.ObservedLoad{Member: id, At: now}, settling
+		return admission.ObservedLoad{Member: id, At: now}, inGrace
 	}
 	if table.Liveness(now, entry) == membership.Leaving {
 		return admission.ObservedLoad{}, false
 	}
-	if settling && entry.RecordedAt.Before(awake) {
+	if inGrace && entry.RecordedAt.Before(runningSince) {
 		return admission.ObservedLoad{Member: id, At: now}, true
 	}
-	if c.isSilent(now, pool, entry) {
+	if c.isPresumedDead(now, pool, entry) {
 		return admission.ObservedLoad{}, false
 	}
 	return admission.ObservedLoad{Member: id, Load: int(entry.Load), At: entry.RecordedAt}, true
 }
 
 // settlePerMember stretches the time that a process takes to learn of its pool.
-const settlePerMember = 30 * time.Millisecond
+const silenceGracePerMember = 30 * time.Millisecond
 
 // settleTime is how long after a start or a pause silence means nothing yet.
-func (c *Core) settleTime(pool *bundle.Pool) time.Duration {
-	return c.config.Coordination.Membership.SilentAfter + time.Duration(len(pool.BackEnds))*settlePerMember
+func (c *Core) silenceGrace(pool *bundle.Pool) time.Duration {
+	return c.config.Coordination.Membership.SilentAfter + time.Duration(len(pool.BackEnds))*silenceGracePerMember
 }
 
 // isSilent tells whether a member is taken for dead: it was silent for long, or
@@ -64,7 +64,7 @@
 // is enough within that time: a router may be cut off, and gossip may be late.
 // Nor are both where routers reach hardly any member: then it is the routers
 // that are cut off.
-func (c *Core) isSilent(now time.Time, pool *bundle.Pool, entry *membership.Entry) bool {
+func (c *Core) isPresumedDead(now time.Time, pool *bundle.Pool, entry *membership.Entry) bool {
 	age := now.Sub(entry.RecordedAt)
 	if age > c.config.Coordination.Membership.SilentAfter {
 		return true
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -46,7 +46,7 @@
 	for {
 		line, err := r.readLine()
 		if err != nil {
-			return Event{}, r.ending(err)
+			return Event{}, r.endError(err)
 		}
 		if isBlank(line) {
 			if r.buffer.Len() == len(line) {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (r *Reader) ending(err error) error {
+func (r *Reader) endError(err error) error {
 	if errors.Is(err, io.EOF) && r.buffer.Len() > 0 {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWholeEventsAlone(t *testing.T) {
+func TestReaderReturnsOnlyWholeEvents(t *testing.T) {
 	is := is.New(t)
 	text := "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n"
 	reader := NewReader(iotest.OneByteReader(strings.NewReader(text)))
@@ -26,7 +26,7 @@
 	is.True(errors.Is(err, io.ErrUnexpectedEOF)) // the third was cut
 }
 
-func TestStreamThatEndsWhole(t *testing.T) {
+func TestEndAfterWholeEventIsEOF(t *testing.T) {
 	is := is.New(t)
 	reader := NewReader(strings.NewReader("data: a\n\n"))
 	_, err := reader.Next()
@@ -35,16 +35,16 @@
 	is.True(errors.Is(err, io.EOF))
 }
 
-func TestEndlessEventIsRefused(t *testing.T) {
+func TestOversizedEventIsRejected(t *testing.T) {
 	is := is.New(t)
-	reader := NewReader(io.LimitReader(endless{}, 2*MaxEventBytes))
+	reader := NewReader(io.LimitReader(endlessReader{}, 2*MaxEventBytes))
 	_, err := reader.Next()
 	is.True(errors.Is(err, ErrTooLarge))
 }
 
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(p []byte) (int, error) {
+func (endlessReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = 'x'
 	}
--- a/internal/hop/copy.go
+++ b/internal/hop/copy.go
@@ -31,7 +31,7 @@
 const tailSize = 32
 
 // ErrStreamCut means that a stream ended without its closing event.
-var ErrStreamCut = errors.New("the stream ended without its closing event")
+var ErrStreamTruncated = errors.New("the stream ended without its closing event")
 
 // receiverError marks a failure to pass an answer on: its source is still whole.
 type receiverError struct{ cause error }
@@ -80,11 +80,11 @@
 	for {
 		count, readErr := source.Read(buffer)
 		if count > 0 {
-			if err := c.pass(w, controller, buffer[:count]); err != nil {
+			if err := c.forward(w, controller, buffer[:count]); err != nil {
 				return err
 			}
 			if c.RequireEnd {
-				tail = keepTail(tail, buffer[:count])
+				tail = appendTail(tail, buffer[:count])
 			}
 		}
 		if readErr == io.EOF {
@@ -96,7 +96,7 @@
 	}
 }
 
-func (c Copier) pass(w http.ResponseWriter, controller *http.ResponseController, piece []byte) error {
+func (c Copier) forward(w http.ResponseWriter, controller *http.ResponseController, piece []byte) error {
 	if c.Observe != nil {
 		c.Observe(piece)
 	}
@@ -114,13 +114,13 @@
 
 func (c Copier) checkEnd(tail []byte) error {
 	if c.RequireEnd && !bytes.Contains(tail, streamEnd) {
-		return ErrStreamCut
+		return ErrStreamTruncated
 	}
 	return nil
 }
 
 // keepTail returns the last bytes of the tail and the piece together.
-func keepTail(tail, piece []byte) []byte {
+func appendTail(tail, piece []byte) []byte {
 	if len(piece) >= tailSize {
 		return append(tail[:0], piece[len(piece)-tailSize:]...)
 	}
--- a/internal/hop/head.go
+++ b/internal/hop/head.go
@@ -34,7 +34,7 @@
 const maxHeadLength = 16 << 10
 
 // News is the control information that rides on traffic in both directions.
-type News struct {
+type Piggyback struct {
 	// Records are the sender's freshest records of the pool.
 	Records []membership.Record `cbor:"1,keyasint,omitempty"`
 	// Number is the sender's bundle number.
@@ -61,9 +61,9 @@
 	Affine bool `cbor:"6,keyasint"`
 	// Last says that the router makes no further attempt: the request may wait a
 	// moment for a place rather than be refused.
-	Last bool `cbor:"13,keyasint,omitempty"`
+	LastAttempt bool `cbor:"13,keyasint,omitempty"`
 	// LoadsMet are the loads of the back ends that refused before.
-	LoadsMet []routing.ReportedLoad `cbor:"7,keyasint,omitempty"`
+	ReportedLoads []routing.ReportedLoad `cbor:"7,keyasint,omitempty"`
 	// Unreachable are members of the pool that the router could not reach a
 	// moment ago.
 	Unreachable []string `cbor:"12,keyasint,omitempty"`
@@ -74,7 +74,7 @@
 	// KeyDigest is a hash of the request.
 	KeyDigest uint64 `cbor:"10,keyasint,omitempty"`
 	// News is the router's control information.
-	News News `cbor:"11,keyasint"`
+	Piggyback Piggyback `cbor:"11,keyasint"`
 }
 
 // Reply is what an agent tells a router beside the answer.
@@ -90,7 +90,7 @@
 	// Incarnation is the agent's.
 	Incarnation membership.Incarnation `cbor:"5,keyasint"`
 	// News is the agent's control information.
-	News News `cbor:"6,keyasint"`
+	Piggyback Piggyback `cbor:"6,keyasint"`
 }
 
 // KeyIssued returns the key's time of issue.
--- a/internal/hop/headers.go
+++ b/internal/hop/headers.go
@@ -16,7 +16,7 @@
 
 // notPassed are the headers that belong to one connection, carry the caller's
 // secret, or would let a transport replay the request.
-var notPassed = map[string]bool{
+var notForwarded = map[string]bool{
 	"Authorization":       true,
 	"Connection":          true,
 	"Content-Length":      true,
@@ -69,7 +69,7 @@
 // CopyHeaders copies what may pass from one hop to the next.
 func CopyHeaders(to, from http.Header) {
 	for name, values := range from {
-		if notPassed[name] || strings.HasPrefix(name, ownHeaderPrefix) {
+		if notForwarded[name] || strings.HasPrefix(name, ownHeaderPrefix) {
 			continue
 		}
 		to[name] = values
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -21,8 +21,8 @@
 	header := http.Header{}
 	head := Head{
 		RequestID: "r", BackEnd: "e1", Tenant: "t", Affine: true, Key: "k",
-		LoadsMet: []routing.ReportedLoad{{BackEnd: "e2", Load: 7}},
-		News:     News{Number: 3, Records: []membership.Record{{ID: "e3", Load: 9, Beat: 2}}},
+		ReportedLoads: []routing.ReportedLoad{{BackEnd: "e2", Load: 7}},
+		Piggyback:     Piggyback{Number: 3, Records: []membership.Record{{ID: "e3", Load: 9, Beat: 2}}},
 	}
 	is.NoErr(SetHead(header, head))
 	parsed, err := ParseHead(header)
@@ -46,7 +46,7 @@
 	is.NoErr(ours.Check(header))
 }
 
-func TestCopyHeadersDropsSecretsAndOwn(t *testing.T) {
+func TestCopyHeadersDropsSecretsAndInternalHeaders(t *testing.T) {
 	is := is.New(t)
 	to := http.Header{}
 	CopyHeaders(to, http.Header{
@@ -56,7 +56,7 @@
 	is.Equal(to, http.Header{"Content-Type": {"text/plain"}})
 }
 
-func TestCopierReportsEveryKindOfCut(t *testing.T) {
+func TestCopierReportsTruncatedStream(t *testing.T) {
 	whole := "data: a\n\ndata: [DONE]\n\n"
 	cases := map[string]struct {
 		source io.Reader
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -128,7 +128,7 @@
 	}
 }
 
-func (p *Peering) find(id coordination.LinkID) *connection {
+func (p *Peering) lookup(id coordination.LinkID) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.links[id]
@@ -137,7 +137,7 @@
 // send queues a message. A peer that doesn't keep up loses its connection: what
 // it missed is sent anew on the next one.
 func (p *Peering) send(action coordination.Send) {
-	link := p.find(action.Link)
+	link := p.lookup(action.Link)
 	if link == nil {
 		return
 	}
@@ -154,7 +154,7 @@
 }
 
 func (p *Peering) disconnect(id coordination.LinkID) {
-	if link := p.find(id); link != nil {
+	if link := p.lookup(id); link != nil {
 		link.cancel()
 	}
 }
@@ -245,7 +245,7 @@
 		case <-ctx.Done():
 			return
 		case raw := <-link.queue:
-			if err := p.writeOne(ctx, link, raw); err != nil {
+			if err := p.writeMessage(ctx, link, raw); err != nil {
 				return
 			}
 			p.config.Metrics.Counter("control_bytes_sent").Inc(int64(len(raw)))
@@ -253,7 +253,7 @@
 	}
 }
 
-func (p *Peering) writeOne(ctx context.Context, link *connection, raw []byte) error {
+func (p *Peering) writeMessage(ctx context.Context, link *connection, raw []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	return link.socket.Write(ctx, websocket.MessageBinary, raw)
@@ -264,7 +264,7 @@
 		p.config.Deliver(coordination.PlatformFailed{})
 		return
 	}
-	askedAt := time.Now()
+	requestedAt := time.Now()
 	object, err := p.readBundle(action)
 	if err != nil {
 		if p.ctx.Err() == nil {
@@ -275,7 +275,7 @@
 		return
 	}
 	unchanged := action.After != 0 && object.Version == action.After
-	p.config.Deliver(coordination.PlatformBundle{Raw: object.Value, Unchanged: unchanged, Version: object.Version, RequestedAt: askedAt})
+	p.config.Deliver(coordination.PlatformBundle{Raw: object.Value, Unchanged: unchanged, Version: object.Version, RequestedAt: requestedAt})
 }
 
 func (p *Peering) readBundle(action coordination.ReadPlatform) (objectstore.Object, error) {
--- a/internal/pipenet/pipenet.go
+++ b/internal/pipenet/pipenet.go
@@ -15,12 +15,12 @@
 	mutex     sync.Mutex
 	listeners map[string]*pipeListener
 	// open are the connections, which Silence ends without a word.
-	open map[*pipeConn]bool
+	openConns map[*pipeConn]bool
 }
 
 // New returns a network without listeners.
 func New() *Network {
-	return &Network{listeners: map[string]*pipeListener{}, open: map[*pipeConn]bool{}}
+	return &Network{listeners: map[string]*pipeListener{}, openConns: map[*pipeConn]bool{}}
 }
 
 // Listen opens an address.
--- a/internal/pipenet/silence.go
+++ b/internal/pipenet/silence.go
@@ -12,8 +12,8 @@
 func (n *Network) Silence() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	for conn := range n.open {
-		conn.fallSilent()
+	for conn := range n.openConns {
+		conn.silence()
 	}
 }
 
@@ -26,8 +26,8 @@
 func (n *Network) track(conn net.Conn) net.Conn {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	tracked := &pipeConn{Conn: conn, network: n, silent: make(chan struct{}), closed: make(chan struct{}), moved: make(chan struct{})}
-	n.open[tracked] = true
+	tracked := &pipeConn{Conn: conn, network: n, silent: make(chan struct{}), closed: make(chan struct{}), deadlineChanged: make(chan struct{})}
+	n.openConns[tracked] = true
 	return tracked
 }
 
@@ -42,15 +42,15 @@
 	mutex    sync.Mutex
 	deadline time.Time
 	// moved is closed and replaced whenever the deadline for reading moves.
-	moved chan struct{}
+	deadlineChanged chan struct{}
 }
 
 // fallSilent ends the pipe below, so that reads and writes under way return and go on in
 // silence.
-func (c *pipeConn) fallSilent() {
+func (c *pipeConn) silence() {
 	close(c.silent)
 	_ = c.Conn.Close()
-	delete(c.network.open, c)
+	delete(c.network.openConns, c)
 }
 
 func (c *pipeConn) isSilent() bool {
@@ -77,18 +77,18 @@
 func (c *pipeConn) awaitEnd() error {
 	for {
 		c.mutex.Lock()
-		deadline, moved := c.deadline, c.moved
+		deadline, changed := c.deadline, c.deadlineChanged
 		c.mutex.Unlock()
-		var passed <-chan time.Time
+		var expired <-chan time.Time
 		if !deadline.IsZero() {
 			timer := time.NewTimer(time.Until(deadline))
 			defer timer.Stop()
-			passed = timer.C
+			expired = timer.C
 		}
 		select {
-		case <-passed:
+		case <-expired:
 			return os.ErrDeadlineExceeded
-		case <-moved:
+		case <-changed:
 		case <-c.closed:
 			return net.ErrClosed
 		}
@@ -123,8 +123,8 @@
 func (c *pipeConn) SetReadDeadline(deadline time.Time) error {
 	c.mutex.Lock()
 	c.deadline = deadline
-	close(c.moved)
-	c.moved = make(chan struct{})
+	close(c.deadlineChanged)
+	c.deadlineChanged = make(chan struct{})
 	c.mutex.Unlock()
 	if c.isSilent() {
 		return nil
@@ -145,7 +145,7 @@
 	c.once.Do(func() {
 		close(c.closed)
 		c.network.mutex.Lock()
-		delete(c.network.open, c)
+		delete(c.network.openConns, c)
 		c.network.mutex.Unlock()
 	})
 	return c.Conn.Close()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -55,7 +55,7 @@
 
 // sharePeriod is the time between two counts of the routers that share the
 // tenants' limits.
-const sharePeriod = time.Second
+const routerCountPeriod = time.Second
 
 // Request is what the core needs to know of a caller's request.
 type Request struct {
@@ -116,7 +116,7 @@
 	budget  *limits.RetryBudget
 	tenants *limits.TenantLimiter
 	// sharedAt is when the shares of the limits were last reckoned.
-	sharedAt time.Time
+	routersCountedAt time.Time
 	// draining is set once the router is about to stop.
 	draining bool
 }
@@ -147,9 +147,9 @@
 
 // Tick lets time-based decisions take place. It comes once a tick period.
 func (c *Core) Tick(now time.Time) []coordination.Action {
-	if now.Sub(c.sharedAt) >= sharePeriod {
-		c.sharedAt = now
-		c.tenants.SetRouters(now, c.liveRouters(now))
+	if now.Sub(c.routersCountedAt) >= routerCountPeriod {
+		c.routersCountedAt = now
+		c.tenants.SetRouters(now, c.aliveRouters(now))
 	}
 	return c.Control(now, coordination.Tick{})
 }
@@ -164,11 +164,11 @@
 func (c *Core) Ready(now time.Time) bool { return !c.draining && c.node.Ready(now) }
 
 func (c *Core) adopt(now time.Time, adopted *bundle.Bundle) {
-	shares := make(map[string]limits.Limit, len(adopted.Content.Tenants))
+	tenantLimits := make(map[string]limits.Limit, len(adopted.Content.Tenants))
 	for _, tenant := range adopted.Content.Tenants {
-		shares[tenant.Name] = limits.Limit{PerSecond: tenant.RequestsPerSecond, Burst: tenant.Burst}
+		tenantLimits[tenant.Name] = limits.Limit{PerSecond: tenant.RequestsPerSecond, Burst: tenant.Burst}
 	}
-	c.tenants.Configure(now, shares)
+	c.tenants.Configure(now, tenantLimits)
 }
 
 // Begin takes a new request.
@@ -215,11 +215,11 @@
 // next gives the next attempt, or the final answer. It answers at once when the
 // deadline has passed, the attempts or the retry budget are spent, or no back
 // end is left.
-func (c *Core) next(now time.Time, exchange *Exchange, further bool) Decision {
+func (c *Core) next(now time.Time, exchange *Exchange, isRetry bool) Decision {
 	if !now.Before(exchange.request.Deadline) {
 		return Decision{GiveUp: failure.New(failure.DeadlineUnmeetable, "the deadline passed before a back end took the request")}
 	}
-	if further && (exchange.route.Attempts() >= c.config.MaxAttempts || !c.budget.Spend()) {
+	if isRetry && (exchange.route.Attempts() >= c.config.MaxAttempts || !c.budget.Spend()) {
 		return Decision{GiveUp: exchange.route.GiveUp()}
 	}
 	attempt, ok := exchange.route.Next(now)
@@ -248,10 +248,10 @@
 		Priority:        request.Priority,
 		RemainingMillis: request.Deadline.Sub(now).Milliseconds(),
 		Affine:          attempt.Affine,
-		Last:            c.isLast(exchange),
-		LoadsMet:        attempt.ReportedLoads,
+		LastAttempt:     c.isLastAttempt(exchange),
+		ReportedLoads:   attempt.ReportedLoads,
 		Unreachable:     c.unreachable(now, request.Pool),
-		News:            c.news(now, request.Pool),
+		Piggyback:       c.piggyback(now, request.Pool),
 	}
 	if request.Key != "" {
 		head.Key = request.Key
@@ -262,13 +262,13 @@
 }
 
 // isLast tells whether no further attempt would follow a refusal.
-func (c *Core) isLast(exchange *Exchange) bool {
+func (c *Core) isLastAttempt(exchange *Exchange) bool {
 	return exchange.route.IsExhausted() || exchange.route.Attempts() >= c.config.MaxAttempts || !c.budget.CanSpend()
 }
 
 // Refused takes an agent's "not run" and returns what to do next.
 func (c *Core) Refused(now time.Time, exchange *Exchange, reply hop.Reply) Decision {
-	c.Heard(now, reply)
+	c.ApplyPiggyback(now, reply)
 	kind, known := reply.FailureKind()
 	if !known || kind.Answer().Ran != failure.RanNo || !kind.Answer().Retry {
 		return Decision{GiveUp: &failure.Error{
@@ -306,14 +306,14 @@
 
 // NotSent notes that the target could not be reached, so that nothing was sent,
 // and returns what to do next.
-func (c *Core) NotSent(now time.Time, exchange *Exchange) Decision {
+func (c *Core) NotConnected(now time.Time, exchange *Exchange) Decision {
 	c.node.Step(now, coordination.NodeUnreachable{ID: exchange.target})
 	return c.next(now, exchange, true)
 }
 
 // Lost notes that the target broke off before its answer began and returns the
 // caller's final answer: the request may have run, so it is never sent again.
-func (c *Core) Lost(now time.Time, exchange *Exchange) Decision {
+func (c *Core) ConnectionLost(now time.Time, exchange *Exchange) Decision {
 	c.node.Step(now, coordination.NodeUnreachable{ID: exchange.target})
 	if c.config.RetryUnknown {
 		return c.next(now, exchange, true)
@@ -322,11 +322,11 @@
 }
 
 // Heard takes the news that came with an answer.
-func (c *Core) Heard(now time.Time, reply hop.Reply) {
+func (c *Core) ApplyPiggyback(now time.Time, reply hop.Reply) {
 	c.node.Step(now, coordination.PiggybackedRecords{
-		Records:    reply.News.Records,
-		Number:     reply.News.Number,
-		ContactAge: time.Duration(reply.News.ContactAgeMillis) * time.Millisecond,
+		Records:    reply.Piggyback.Records,
+		Number:     reply.Piggyback.Number,
+		ContactAge: time.Duration(reply.Piggyback.ContactAgeMillis) * time.Millisecond,
 	})
 }
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -51,23 +51,23 @@
 	return hop.Reply{Refused: true, Kind: kind.String(), Load: 3, RetryAfterMillis: 700}
 }
 
-func TestNotRunGoesOnAndUnknownDoesNot(t *testing.T) {
+func TestRetriesOnlyRequestsThatDidNotRun(t *testing.T) {
 	is := is.New(t)
 	core := newRouter(t, nil)
 	exchange, first := core.Begin(start, request("free"))
 	second := core.Refused(start, exchange, refusal(failure.OverBound))
 	is.True(second.Send != nil)
 	is.True(second.Send.BackEnd != first.Send.BackEnd)
-	is.Equal(second.Send.Head.LoadsMet[0].BackEnd, first.Send.BackEnd)
-	third := core.NotSent(start, exchange)
+	is.Equal(second.Send.Head.ReportedLoads[0].BackEnd, first.Send.BackEnd)
+	third := core.NotConnected(start, exchange)
 	is.True(third.Send != nil)
 	is.Equal(third.Send.Head.Unreachable, []string{second.Send.BackEnd})
-	last := core.Lost(start, exchange)
+	last := core.ConnectionLost(start, exchange)
 	is.Equal(last.GiveUp.Kind, failure.BackendFailed)
 	is.Equal(last.GiveUp.Kind.Answer().Ran, failure.RanUnknown)
 }
 
-func TestFinalRefusalsAreNotTriedElsewhere(t *testing.T) {
+func TestFinalRefusalIsNotRetried(t *testing.T) {
 	for _, kind := range []failure.Kind{failure.OutcomeUnknown, failure.KeyReused, failure.KeyInProgress} {
 		is := is.New(t)
 		core := newRouter(t, nil)
@@ -76,19 +76,19 @@
 	}
 }
 
-func TestGivesUpAtOnceWhenTheBudgetOrTheTimeIsSpent(t *testing.T) {
+func TestGivesUpWithoutRetryBudgetOrTime(t *testing.T) {
 	is := is.New(t)
-	poor := newRouter(t, func(c *Config) { c.RetryRatio, c.RetryCapacity = 0, 0 })
-	exchange, _ := poor.Begin(start, request("free"))
-	given := poor.Refused(start, exchange, refusal(failure.OverBound))
-	is.Equal(given.GiveUp.Kind, failure.OverBound)
-	is.Equal(given.GiveUp.Wait(), 700*time.Millisecond) // when to come back
+	noBudget := newRouter(t, func(c *Config) { c.RetryRatio, c.RetryCapacity = 0, 0 })
+	exchange, _ := noBudget.Begin(start, request("free"))
+	decision := noBudget.Refused(start, exchange, refusal(failure.OverBound))
+	is.Equal(decision.GiveUp.Kind, failure.OverBound)
+	is.Equal(decision.GiveUp.Wait(), 700*time.Millisecond) // when to come back
 	late := newRouter(t, nil)
 	exchange, _ = late.Begin(start, request("free"))
 	is.Equal(late.Refused(start.Add(2*time.Minute), exchange, refusal(failure.OverBound)).GiveUp.Kind, failure.DeadlineUnmeetable)
 }
 
-func TestTenantOverItsLimitIsToldWhenToComeBack(t *testing.T) {
+func TestRateLimitedTenantGetsRetryAfter(t *testing.T) {
 	is := is.New(t)
 	core := newRouter(t, nil)
 	for range 5 {
@@ -102,12 +102,12 @@
 	is.True(decision.Send != nil) // another tenant isn't touched
 }
 
-func TestLeavingMemberGetsNothingMore(t *testing.T) {
+func TestLeavingBackEndGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
 	core := newRouter(t, nil)
 	exchange, first := core.Begin(start, request("free"))
 	reply := refusal(failure.Leaving)
-	reply.News.Records = []membership.Record{{ID: first.Send.BackEnd, Incarnation: 1}}
+	reply.Piggyback.Records = []membership.Record{{ID: first.Send.BackEnd, Incarnation: 1}}
 	is.True(core.Refused(start, exchange, reply).Send != nil)
 	_, next := core.Begin(start, request("free"))
 	is.True(next.Send.BackEnd != first.Send.BackEnd)
@@ -124,14 +124,14 @@
 }
 
 // TestLastAttemptIsTold: an agent hears when no further attempt would follow.
-func TestLastAttemptIsTold(t *testing.T) {
+func TestHeadMarksLastAttempt(t *testing.T) {
 	is := is.New(t)
-	_, rich := newRouter(t, nil).Begin(start, request("free"))
-	is.True(!rich.Send.Head.Last)
-	poor := newRouter(t, func(c *Config) { c.RetryRatio, c.RetryCapacity = 0, 0 })
-	_, only := poor.Begin(start, request("free"))
-	is.True(only.Send.Head.Last)
-	brief := newRouter(t, func(c *Config) { c.MaxAttempts = 1 })
-	_, single := brief.Begin(start, request("free"))
-	is.True(single.Send.Head.Last)
+	_, retriable := newRouter(t, nil).Begin(start, request("free"))
+	is.True(!retriable.Send.Head.LastAttempt)
+	noBudget := newRouter(t, func(c *Config) { c.RetryRatio, c.RetryCapacity = 0, 0 })
+	_, only := noBudget.Begin(start, request("free"))
+	is.True(only.Send.Head.LastAttempt)
+	oneAttempt := newRouter(t, func(c *Config) { c.MaxAttempts = 1 })
+	_, single := oneAttempt.Begin(start, request("free"))
+	is.True(single.Send.Head.LastAttempt)
 }
--- a/internal/router/routerhttp/event.go
+++ b/internal/router/routerhttp/event.go
@@ -10,7 +10,7 @@
 
 // writeBrokenEvent tells the reader of a stream that it ends early. Errors are
 // of no interest: the connection is cut next.
-func writeBrokenEvent(w http.ResponseWriter) {
+func writeErrorEvent(w http.ResponseWriter) {
 	body := failure.BodyOf(failure.New(failure.StreamBroken, "the answer broke off; what was received is not whole"))
 	raw, err := json.Marshal(body)
 	if err != nil {
--- a/internal/router/routerhttp/request.go
+++ b/internal/router/routerhttp/request.go
@@ -49,7 +49,7 @@
 const userRole = "user"
 
 // parsed is a caller's request, read and checked.
-type parsed struct {
+type callerRequest struct {
 	router.Request
 	body   []byte
 	isChat bool
@@ -94,7 +94,7 @@
 }
 
 // parseHeaders fills what the headers say about any request.
-func (p *parsed) parseHeaders(now time.Time, header http.Header, limits TimeoutLimits) error {
+func (p *callerRequest) parseHeaders(now time.Time, header http.Header, limits TimeoutLimits) error {
 	var err error
 	if p.Priority, err = parsePriority(header.Get(HeaderPriority)); err != nil {
 		return err
@@ -138,7 +138,7 @@
 // parseKey takes the idempotency key. unrepeatable is the pool's default, which
 // the caller's header overrides; a repeatable request needs no key and its key
 // is ignored.
-func (p *parsed) parseKey(header http.Header, unrepeatable bool, path string) error {
+func (p *callerRequest) parseKey(header http.Header, unrepeatable bool, path string) error {
 	switch header.Get(HeaderRepeatable) {
 	case "":
 	case "yes":
@@ -179,7 +179,7 @@
 }
 
 // parseChat fills what a chat's body and token say.
-func (p *parsed) parseChat(content *bundle.Content, header http.Header, sealer *routing.TokenSealer) error {
+func (p *callerRequest) parseChat(content *bundle.Content, header http.Header, sealer *routing.TokenSealer) error {
 	var head chatHead
 	if err := json.Unmarshal(p.body, &head); err != nil {
 		return failure.Wrap(failure.InvalidRequest, err, "the body must be a chat completion request in JSON")
--- a/internal/router/routerhttp/request_test.go
+++ b/internal/router/routerhttp/request_test.go
@@ -38,10 +38,10 @@
 
 var limits = TimeoutLimits{Default: time.Minute, Max: time.Hour}
 
-func TestChatKeepsItsKeyFromTurnToTurn(t *testing.T) {
+func TestChatKeyIsSameForAllTurns(t *testing.T) {
 	is := is.New(t)
 	key := func(tenant, body string) string {
-		p := &parsed{body: []byte(body)}
+		p := &callerRequest{body: []byte(body)}
 		p.Tenant = tenant
 		is.NoErr(p.parseChat(content(t), http.Header{}, routing.NewTokenSealer(nil)))
 		return p.ChatKey
@@ -55,8 +55,8 @@
 
 func TestKeyMustBeAUUIDOfVersion7(t *testing.T) {
 	is := is.New(t)
-	parse := func(key string) (*parsed, error) {
-		p := &parsed{}
+	parse := func(key string) (*callerRequest, error) {
+		p := &callerRequest{}
 		return p, p.parseKey(http.Header{HeaderIdempotencyKey: {key}}, true, "/loans/")
 	}
 	for _, bad := range []string{"x", uuid.NewString()} {
@@ -80,7 +80,7 @@
 			HeaderIdempotencyKey: {key}, HeaderChatToken: {token},
 		}
 		now := time.Unix(1_800_000_000, 0)
-		p := &parsed{body: []byte(body)}
+		p := &callerRequest{body: []byte(body)}
 		if err := p.parseHeaders(now, header, limits); err == nil && (!p.Deadline.After(now) || p.Deadline.Sub(now) > limits.Max) {
 			t.Fatal("a deadline out of range was taken")
 		}
--- a/internal/router/routerhttp/route.go
+++ b/internal/router/routerhttp/route.go
@@ -21,7 +21,7 @@
 
 // route sends the request where the core says until a back end takes it or the
 // core gives up.
-func (s *Server) route(w http.ResponseWriter, r *http.Request, p *parsed) {
+func (s *Server) route(w http.ResponseWriter, r *http.Request, p *callerRequest) {
 	labels := slo.Labels{Tenant: p.Tenant, Pool: p.Pool, Priority: uint8(p.Priority)}
 	watch := s.config.Objectives.Begin(time.Now(), labels, p.targets)
 	exchange, decision := s.begin(p)
@@ -51,7 +51,7 @@
 	s.answerFailure(w, p, decision.GiveUp)
 }
 
-func (s *Server) begin(p *parsed) (exchange *router.Exchange, decision router.Decision) {
+func (s *Server) begin(p *callerRequest) (exchange *router.Exchange, decision router.Decision) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.core.Begin(time.Now(), p.Request)
@@ -65,7 +65,7 @@
 
 // send makes one attempt. An answer that hasn't begun by the deadline is given
 // up; one that has begun may go on.
-func (s *Server) send(r *http.Request, p *parsed, target *router.Send) (*http.Response, error) {
+func (s *Server) send(r *http.Request, p *callerRequest, target *router.Send) (*http.Response, error) {
 	ctx, cancel := context.WithCancel(r.Context())
 	expired := time.AfterFunc(time.Until(p.Deadline), cancel)
 	defer expired.Stop()
@@ -104,7 +104,7 @@
 }
 
 // sendFailed asks the core what to do after an attempt without an answer.
-func (s *Server) sendFailed(r *http.Request, p *parsed, exchange *router.Exchange, target *router.Send, cause error) router.Decision {
+func (s *Server) sendFailed(r *http.Request, p *callerRequest, exchange *router.Exchange, target *router.Send, cause error) router.Decision {
 	if r.Context().Err() != nil {
 		return router.Decision{GiveUp: failure.Wrap(failure.CallerGone, cause, "the caller left")}
 	}
@@ -114,9 +114,9 @@
 	}).WithError(cause).Info("attempt failed")
 	return s.decide(func(now time.Time) router.Decision {
 		if notSent {
-			return s.core.NotSent(now, exchange)
+			return s.core.NotConnected(now, exchange)
 		}
-		return s.core.Lost(now, exchange)
+		return s.core.ConnectionLost(now, exchange)
 	})
 }
 
@@ -130,11 +130,11 @@
 // passOn copies the back end's answer to the caller. Once it has begun, a break
 // is made visible by cutting the connection: a stream first gets an event that
 // says so.
-func (s *Server) passOn(w http.ResponseWriter, r *http.Request, p *parsed, exchange *router.Exchange, target *router.Send, response *http.Response, reply hop.Reply, watch *slo.Watch) {
+func (s *Server) passOn(w http.ResponseWriter, r *http.Request, p *callerRequest, exchange *router.Exchange, target *router.Send, response *http.Response, reply hop.Reply, watch *slo.Watch) {
 	defer response.Body.Close()
 	token := ""
 	s.mutex.Lock()
-	s.core.Heard(time.Now(), reply)
+	s.core.ApplyPiggyback(time.Now(), reply)
 	if p.isChat {
 		token = s.config.Sealer.Seal(p.Tenant, s.core.Token(time.Now(), exchange, p.ChatKey, reply.Incarnation))
 	}
@@ -150,7 +150,7 @@
 	copier := hop.NewCopier(r.URL.Path, response.Header)
 	copier.Observe = func([]byte) { watch.Piece(time.Now()) }
 	if err := copier.Copy(w, response.Body); err != nil {
-		s.broken(w, r, p, target, copier.Stream, err, watch)
+		s.abortAnswer(w, r, p, target, copier.Stream, err, watch)
 	}
 	watch.Whole()
 }
@@ -165,7 +165,7 @@
 }
 
 // broken ends an answer that can't be completed. It doesn't return.
-func (s *Server) broken(w http.ResponseWriter, r *http.Request, p *parsed, target *router.Send, stream bool, cause error, watch *slo.Watch) {
+func (s *Server) abortAnswer(w http.ResponseWriter, r *http.Request, p *callerRequest, target *router.Send, stream bool, cause error, watch *slo.Watch) {
 	if r.Context().Err() != nil {
 		watch.Failed(failure.CallerGone)
 		panic(http.ErrAbortHandler)
@@ -174,7 +174,7 @@
 	s.config.Metrics.Tagged(map[string]string{"kind": failure.StreamBroken.String()}).Counter("failures").Inc(1)
 	s.config.Log.WithFields(logrus.Fields{"request": p.ID, "back_end": target.BackEnd}).WithError(cause).Warn("answer broke off")
 	if stream {
-		writeBrokenEvent(w)
+		writeErrorEvent(w)
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/internal/router/routerhttp/server.go
+++ b/internal/router/routerhttp/server.go
@@ -171,7 +171,7 @@
 }
 
 func (s *Server) serveChat(w http.ResponseWriter, r *http.Request) {
-	s.serve(w, r, func(p *parsed, content *bundle.Content) error {
+	s.serve(w, r, func(p *callerRequest, content *bundle.Content) error {
 		if err := p.parseChat(content, r.Header, s.config.Sealer); err != nil {
 			return err
 		}
@@ -180,7 +180,7 @@
 }
 
 func (s *Server) serveService(w http.ResponseWriter, r *http.Request) {
-	s.serve(w, r, func(p *parsed, content *bundle.Content) error {
+	s.serve(w, r, func(p *callerRequest, content *bundle.Content) error {
 		pool := content.PoolForPath(r.URL.Path)
 		if pool == nil || strings.Contains(r.URL.Path, "..") {
 			return failure.New(failure.UnknownRoute, "no pool owns the path; the bundle lists each service's path_prefix")
@@ -192,8 +192,8 @@
 }
 
 // serve reads a request, lets parse find its pool, and routes it.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, parse func(*parsed, *bundle.Content) error) {
-	p := &parsed{}
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, parse func(*callerRequest, *bundle.Content) error) {
+	p := &callerRequest{}
 	p.ID = uuid.NewString()
 	w.Header().Set(HeaderRequestID, p.ID)
 	if err := s.read(w, r, p, parse); err != nil {
@@ -203,7 +203,7 @@
 	s.route(w, r, p)
 }
 
-func (s *Server) read(w http.ResponseWriter, r *http.Request, p *parsed, parse func(*parsed, *bundle.Content) error) error {
+func (s *Server) read(w http.ResponseWriter, r *http.Request, p *callerRequest, parse func(*callerRequest, *bundle.Content) error) error {
 	content, err := s.content()
 	if err != nil {
 		return err
@@ -227,7 +227,7 @@
 }
 
 // answerFailure sends a final answer.
-func (s *Server) answerFailure(w http.ResponseWriter, p *parsed, err error) {
+func (s *Server) answerFailure(w http.ResponseWriter, p *callerRequest, err error) {
 	kind := failure.KindOf(err)
 	s.config.Metrics.Tagged(map[string]string{"kind": kind.String()}).Counter("failures").Inc(1)
 	s.config.Log.WithFields(logrus.Fields{
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -10,9 +10,9 @@
 )
 
 // newsRecords is the number of records that ride on one request.
-const newsRecords = 4
+const maxPiggybackedRecords = 4
 
-func (c *Core) liveRouters(now time.Time) int {
+func (c *Core) aliveRouters(now time.Time) int {
 	routers := 1
 	table := c.node.Table()
 	table.Entries(func(entry *membership.Entry) {
@@ -79,11 +79,11 @@
 }
 
 // news returns the pool's freshest loads.
-func (c *Core) news(now time.Time, poolName string) hop.News {
+func (c *Core) piggyback(now time.Time, poolName string) hop.Piggyback {
 	current := c.node.Bundle()
-	news := hop.News{Number: current.Number, ContactAgeMillis: c.node.ContactAge(now).Milliseconds()}
+	piggyback := hop.Piggyback{Number: current.Number, ContactAgeMillis: c.node.ContactAge(now).Milliseconds()}
 	if pool := current.Content.Pool(poolName); pool != nil {
-		news.Records = c.node.Table().Freshest(now, newsRecords, pool.MemberIDs())
+		piggyback.Records = c.node.Table().Freshest(now, maxPiggybackedRecords, pool.MemberIDs())
 	}
-	return news
+	return piggyback
 }
--- a/internal/simulation/exchange.go
+++ b/internal/simulation/exchange.go
@@ -93,7 +93,7 @@
 	}
 	a.abandoned = true
 	n.s.disconnect(a)
-	n.follow(r, n.router.Lost(n.clock(), r.exchange))
+	n.follow(r, n.router.ConnectionLost(n.clock(), r.exchange))
 }
 
 // follow carries out a router's decision.
@@ -155,13 +155,13 @@
 
 func (n *node) notSent(a *attempt) {
 	a.abandoned = true
-	n.follow(a.request, n.router.NotSent(n.clock(), a.request.exchange))
+	n.follow(a.request, n.router.NotConnected(n.clock(), a.request.exchange))
 }
 
 func (n *node) lost(a *attempt) {
 	a.abandoned = true
 	n.s.disconnect(a)
-	n.follow(a.request, n.router.Lost(n.clock(), a.request.exchange))
+	n.follow(a.request, n.router.ConnectionLost(n.clock(), a.request.exchange))
 }
 
 // arrive takes an attempt at its agent.
@@ -259,7 +259,7 @@
 		n.follow(r, n.router.Refused(n.clock(), r.exchange, reply))
 		return
 	}
-	n.router.Heard(n.clock(), reply)
+	n.router.ApplyPiggyback(n.clock(), reply)
 	o := outcome{served: true, service: a.service, attempt: a}
 	if r.chat != nil {
 		token := n.router.Token(n.clock(), r.exchange, r.chat.key, reply.Incarnation)
--- a/internal/simulation/measure.go
+++ b/internal/simulation/measure.go
@@ -118,7 +118,7 @@
 		return
 	}
 	m.attempts++
-	if raw, err := cbor.Marshal(head.News); err == nil {
+	if raw, err := cbor.Marshal(head.Piggyback); err == nil {
 		m.newsBytes += int(base64Growth * float64(len(raw)))
 	}
 }
