--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,11 @@
-// Package agent is the role that stands before one back end and keeps the
-// system's promises there. Core joins the gate and the control plane; it is a
-// state machine without I/O, run alike by the daemon and the simulation.
+// Package agent implements the role of the node in front of one back end. The
+// agent decides which of the routers' requests the back end gets and when, runs
+// keyed requests at most once, and announces the back end's load and state to
+// the other nodes.
+//
+// Core combines the admission gate with the control plane. It is a state machine
+// without I/O: callers pass in the time. The daemon and the simulation run the
+// same code.
 package agent
 
 import (
@@ -14,45 +19,49 @@
 	"github.com/harriernotch/harriernotch/internal/membership"
 )
 
-// Config sets up a Core.
+// Config configures a Core.
 type Config struct {
-	// Identity is the node; its ID is the back end's.
+	// Identity identifies the node. Its ID is also the back end's ID.
 	Identity coordination.Identity
-	// Coordination tunes the control plane.
+	// Coordination configures the control plane.
 	Coordination coordination.Config
-	// IsolatedAfter is how long an agent that has lost all contact goes on
-	// taking new work. It bounds how long it can miss that it must leave.
-	// Default 5s.
+	// IsolatedAfter is how long an agent continues to accept new work after its last
+	// contact to a peer. Contact of the routers, which they report with their
+	// requests, counts as the agent's own. It bounds the time during which the agent
+	// can miss an order to leave. Default 5s.
 	IsolatedAfter time.Duration
-	// OwnerWait is how long a keyed request may wait for the load bound.
-	// Default 2s.
+	// OwnerWait is how long a keyed request may wait for room under the load
+	// bound. Default 2s.
 	OwnerWait time.Duration
-	// LastWait is how long a request may wait for it whose router makes no further
-	// attempt. Default 4s, two windows of the mean.
+	// LastAttemptWait is how long a request whose router makes no further attempt
+	// may wait for room under the load bound. Default 4s, several default windows of
+	// the mean load: when the load rises, the bound follows only over several windows.
 	LastAttemptWait time.Duration
-	// KeyCapacity is the number of keys remembered, ReplyBytes the memory of
-	// their kept answers. Defaults 20000 and 8 MiB.
+	// KeyCapacity bounds the number of stored idempotency keys, and MaxReplyBytes
+	// the memory of the replies stored for them. Defaults 20000 and 8 MiB.
 	KeyCapacity   int
 	MaxReplyBytes int
-	// Disable switches mechanisms off to show that the checkers notice.
+	// Disable switches mechanisms off. It is set only to verify that the checkers
+	// detect the consequences.
 	Disable Disable
 }
 
-// Disable names the mechanisms that a simulation may switch off.
+// Disable selects the mechanisms that a simulation switches off.
 type Disable struct {
-	// Bound admits over the load bound.
+	// Bound admits requests over the load bound.
 	Bound bool
-	// Keys forgets idempotency keys.
+	// Keys stores no idempotency keys.
 	Keys bool
-	// KeyAge takes keys issued before the agent's start.
+	// KeyAge accepts keys issued before the agent's start.
 	KeyAge bool
-	// Lease runs keyed requests without a confirmed bundle.
+	// Lease runs keyed requests without a lease, that is, without a recent
+	// confirmation that the bundle is the newest.
 	Lease bool
-	// Leave goes on taking work while leaving.
+	// Leave accepts new work while leaving, and while isolated.
 	Leave bool
 }
 
-// DefaultConfig returns the defaults for the node.
+// DefaultConfig returns the default configuration of the node.
 func DefaultConfig(identity coordination.Identity) Config {
 	return Config{
 		Identity:        identity,
@@ -65,31 +74,34 @@
 	}
 }
 
-// defaultClockError bounds clock differences until a bundle states its own.
+// defaultClockError is the largest difference between two machines' clocks that
+// the key table assumes. The bundle's own control.clock_error, which has the same
+// default, isn't applied to the key table.
 const defaultClockError = 2 * time.Second
 
-// newsRecords is the number of records that ride on one answer.
+// maxPiggybackedRecords bounds the membership records sent with one answer.
 const maxPiggybackedRecords = 4
 
-// Core decides for one agent. It is not safe for concurrent use.
+// Core makes the decisions of one agent. It is not safe for concurrent use.
 type Core struct {
 	config      Config
 	node        *coordination.Node
 	gate        *admission.Gate
 	incarnation membership.Incarnation
-	// tableVersion is the version of the table last shown to the gate.
+	// tableVersion is the version of the membership table when the gate last got
+	// the pool's loads.
 	tableVersion uint64
 }
 
-// Effects are the actions that an event caused, to be carried out in order.
+// Effects are the actions that result from an event, to be executed in order.
 type Effects struct {
-	// Control are for the links and the platform.
+	// Control holds the actions on links and on the platform.
 	Control []coordination.Action
-	// Requests are for the requests at this agent.
+	// Requests holds the actions on the requests at this agent.
 	Requests []admission.Action
 }
 
-// New returns the core of an agent that starts at the time.
+// New returns the core of an agent that starts at now.
 func New(config Config, open coordination.Opener, acceptor *bundle.Acceptor, now time.Time) *Core {
 	keyTable := admission.KeyTableConfig{
 		StartedAt:     now,
@@ -110,16 +122,17 @@
 	}
 }
 
-// Node returns the control plane, to be read only.
+// Node returns the control plane. Callers may only read it.
 func (c *Core) Node() *coordination.Node { return c.node }
 
-// Gate returns the gate, to be read only.
+// Gate returns the admission gate. Callers may only read it.
 func (c *Core) Gate() *admission.Gate { return c.gate }
 
 // Incarnation returns the agent's incarnation.
 func (c *Core) Incarnation() membership.Incarnation { return c.incarnation }
 
-// Pool returns the pool of the back end, or nil.
+// Pool returns the back end's pool, or nil if there is no bundle or the bundle
+// doesn't list the back end.
 func (c *Core) Pool() *bundle.Pool {
 	current := c.node.Bundle()
 	if current == nil {
@@ -129,7 +142,7 @@
 	return pool
 }
 
-// Control passes an event to the control plane.
+// Control processes an event of the control plane.
 func (c *Core) Control(now time.Time, event coordination.Event) Effects {
 	effects := Effects{Control: c.node.Step(now, event)}
 	for _, action := range effects.Control {
@@ -140,15 +153,15 @@
 	return c.synchronize(now, effects)
 }
 
-// Tick lets time-based decisions take place. It comes once a tick period.
+// Tick triggers decisions that depend on the passing of time. It must be called
+// once per tick period.
 func (c *Core) Tick(now time.Time) Effects {
 	effects := c.Control(now, coordination.Tick{})
 	effects.Requests = append(effects.Requests, c.gate.Step(now, admission.Tick{})...)
 	return c.synchronize(now, effects)
 }
 
-// Arrive takes a request from a router under the identifier that the owner
-// chose.
+// Arrive processes a new request from a router. The caller chooses the ID.
 func (c *Core) Arrive(now time.Time, id admission.RequestID, head hop.Head) Effects {
 	for _, member := range head.Unreachable {
 		c.node.Step(now, coordination.NodeUnreachable{ID: member})
@@ -168,14 +181,15 @@
 	return c.synchronize(now, effects)
 }
 
-// Finished ends a request that was started.
+// Finished records that a started request has ended.
 func (c *Core) Finished(now time.Time, event admission.Finished) Effects {
 	return c.synchronize(now, Effects{Requests: c.gate.Step(now, event)})
 }
 
-// Noticed takes what an answer of the back end says of the back end itself: that it leaves, and
-// for how long it wants nothing; 0 when it doesn't say. A back end that leaves gets nothing that
-// waits at the gate either: that could reach it long after it has gone.
+// ApplyNotice applies what an answer of the back end says about the back end itself: whether it
+// is leaving, and for how long it wants no requests (retryAfter; 0 if it doesn't say). Requests
+// that wait at the gate aren't sent to a leaving back end either: they could reach it long after
+// it has stopped.
 func (c *Core) ApplyNotice(now time.Time, leaving bool, retryAfter time.Duration) Effects {
 	var effects Effects
 	if leaving && !c.gate.IsLeaving() {
@@ -188,15 +202,17 @@
 	return effects
 }
 
-// forGood is longer than any agent runs beside a back end that leaves.
+// leavingBackOff is how long the gate backs off for a leaving back end. It is longer than any agent
+// continues to run next to one, so the back-off never ends.
 const leavingBackOff = 24 * time.Hour
 
-// Cancelled says that the caller left before the request was started.
+// Cancelled records that the caller left before the request was started.
 func (c *Core) Cancelled(now time.Time, id admission.RequestID) Effects {
 	return c.synchronize(now, Effects{Requests: c.gate.Step(now, admission.Cancelled{ID: id})})
 }
 
-// refusal tells whether the request must not reach the gate, and why.
+// refusal reports whether the request must be refused before it reaches the
+// gate, and why.
 func (c *Core) refusal(now time.Time, head hop.Head) (failure.Kind, bool) {
 	switch {
 	case head.BackEnd != c.config.Identity.ID:
@@ -212,22 +228,25 @@
 	}
 }
 
-// isIsolated tells whether the agent has heard from nobody for so long that it
-// may have missed an order to leave.
+// isIsolated reports whether the agent has had no contact to a peer, neither its own
+// nor one that a router reported, for so long that it may have missed an order to
+// leave.
 func (c *Core) isIsolated(now time.Time) bool {
 	return !c.config.Disable.Leave && c.node.ContactAge(now) > c.config.IsolatedAfter
 }
 
-// isJustAwake tells whether the process was paused and has heard from no peer
-// since: what it knows of the pool's loads and of its own standing is old.
+// lacksFreshContact reports whether the process was paused and isn't known to have
+// received a message that a peer sent since. If so, its view of the pool's loads, and
+// of whether another process has replaced it, may be out of date.
 func (c *Core) lacksFreshContact() bool {
 	return !c.node.HasFreshContact()
 }
 
-// keyRefusal refuses a keyed request that this agent may not own. Ownership
-// depends on the key and the bundle alone; the lease makes sure that the bundle
-// is not an old one. That this process wasn't replaced while it was paused is
-// seen to by isJustAwake.
+// keyRefusal reports whether a keyed request must be refused because this agent
+// may not be the owner of its key, and why. Ownership depends only on the key, its
+// time of issue and the bundle; the lease ensures that the bundle is not out of
+// date. lacksFreshContact covers the case that another process replaced this one
+// while it was paused.
 func (c *Core) keyRefusal(now time.Time, head hop.Head) (failure.Kind, bool) {
 	owner := c.node.Bundle().OwnerOf(c.Pool(), head.Key, head.KeyIssued())
 	if owner != c.config.Identity.ID {
@@ -264,7 +283,8 @@
 	return request
 }
 
-// adopt puts a new bundle's settings into force at the gate.
+// adopt applies the settings of a new bundle to the gate. If the bundle doesn't
+// list the back end, or lists it as leaving, adopt closes the gate instead.
 func (c *Core) adopt(now time.Time, adopted *bundle.Bundle) []admission.Action {
 	pool, backEnd := adopted.Content.PoolOf(c.config.Identity.ID)
 	if pool == nil || backEnd.Leaving {
@@ -290,7 +310,10 @@
 	}})
 }
 
-// leave closes the gate first and spreads the word second.
+// leave closes the gate. The actions that announce the state to peers are part of the
+// same Effects, and are executed only after the core has returned them. The gate is
+// closed by then, so the agent accepts no new request after it has announced that it
+// is leaving.
 func (c *Core) leave(now time.Time) []admission.Action {
 	if c.config.Disable.Leave {
 		return nil
@@ -298,8 +321,9 @@
 	return c.gate.Step(now, admission.Leave{})
 }
 
-// settle carries changes of one part to the other: what the table heard reaches
-// the gate, and the gate's load and state reach the next record.
+// synchronize passes changes between the control plane and the gate: the gate gets
+// the state and the loads from the membership table, and the node's next record gets
+// the gate's state and load.
 func (c *Core) synchronize(now time.Time, effects Effects) Effects {
 	mustLeave := c.node.Table().Self().State != membership.StateServing || c.node.Table().Superseded()
 	if mustLeave && !c.gate.IsLeaving() {
@@ -316,8 +340,8 @@
 	return effects
 }
 
-// Reply returns what goes back to the router beside the answer. refused is nil
-// when the answer is the back end's.
+// Reply returns the agent's metadata for an answer to a router. refused is nil if
+// the answer is the back end's.
 func (c *Core) Reply(now time.Time, refused *admission.Refuse) hop.Reply {
 	reply := hop.Reply{Load: c.gate.Load(), Incarnation: c.incarnation, Piggyback: c.piggyback(now)}
 	if refused != nil {
@@ -339,7 +363,7 @@
 	if pool := c.Pool(); pool != nil {
 		piggyback.Records = c.node.Table().Freshest(now, maxPiggybackedRecords, pool.MemberIDs())
 	}
-	// The record of the node itself shows the load of this very moment.
+	// The node's own record may lag behind; send the current load.
 	if len(piggyback.Records) > 0 && piggyback.Records[0].ID == c.config.Identity.ID {
 		piggyback.Records[0].Load = uint32(c.gate.Load())
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -36,7 +36,7 @@
 	return raw
 }
 
-// newAgent returns the agent of a with a confirmed bundle.
+// newAgent returns the agent of back end a, with a confirmed bundle.
 func newAgent(t *testing.T, now time.Time) *Core {
 	t.Helper()
 	trusted := []ed25519.PublicKey{key.Public().(ed25519.PublicKey)}
@@ -47,7 +47,7 @@
 	return core
 }
 
-// tickTo lets the agent run until the time.
+// tickTo calls Tick every 150 ms between the two times.
 func tickTo(core *Core, from, to time.Time) {
 	for now := from; !now.After(to); now = now.Add(150 * time.Millisecond) {
 		core.Tick(now)
@@ -58,7 +58,8 @@
 	return hop.Head{BackEnd: "a", Tenant: "t", RemainingMillis: 60_000, Piggyback: hop.Piggyback{Number: 1}}
 }
 
-// word returns what the effects say about a request.
+// firstDecision returns the first decision on a request among the effects: the kind
+// of a refusal, or "start"; nil if there is none.
 func firstDecision(effects Effects) any {
 	for _, action := range effects.Requests {
 		switch a := action.(type) {
@@ -86,10 +87,10 @@
 	core.Control(start, coordination.PiggybackedRecords{Records: []membership.Record{{ID: "b", Incarnation: 1, Load: 0}}})
 	now := start.Add(1500 * time.Millisecond)
 	is.Equal(firstDecision(core.Arrive(now, 1, head(now))), "start")
-	is.Equal(firstDecision(core.Arrive(now, 2, head(now))), failure.OverBound) // b may be idle, and what is known of it is old
+	is.Equal(firstDecision(core.Arrive(now, 2, head(now))), failure.OverBound) // b may be idle; its last record is out of date
 	reported := head(now)
 	reported.Unreachable = []string{"b"}
-	is.Equal(firstDecision(core.Arrive(now, 3, reported)), "start") // silent for the window, and a router can't reach it
+	is.Equal(firstDecision(core.Arrive(now, 3, reported)), "start") // b has been silent for the window, and a router can't connect to it
 }
 
 func keyedHead(now time.Time, owner string) hop.Head {
@@ -114,7 +115,7 @@
 	late := now.Add(time.Minute)
 	tickTo(core, now, late)
 	contact := keyedHead(late, "a")
-	is.Equal(firstDecision(core.Arrive(late, 3, contact)), failure.LeaseLapsed) // nothing confirmed for over a minute
+	is.Equal(firstDecision(core.Arrive(late, 3, contact)), failure.LeaseLapsed) // the bundle hasn't been confirmed for over a minute
 }
 
 func TestPausedAgentWaitsForFreshContact(t *testing.T) {
@@ -124,8 +125,8 @@
 	now := start.Add(10 * time.Second)
 	tickTo(core, start, now)
 	resumed := now.Add(20 * time.Second)                                                        // no ticks: the process was paused
-	is.Equal(firstDecision(core.Arrive(resumed, 1, keyedHead(resumed, "a"))), failure.NotReady) // nobody was heard since
-	// A message that lay in the buffer echoes a stamp from before the pause.
+	is.Equal(firstDecision(core.Arrive(resumed, 1, keyedHead(resumed, "a"))), failure.NotReady) // no message from a peer since
+	// A message that waited in a buffer echoes a stamp from before the pause.
 	old := coordination.Message{From: "b", Number: 1, ConfirmedAgeMillis: 0, Stamp: 1, Echo: 5000}
 	core.Control(resumed, coordination.Received{Link: 1, Message: old})
 	is.Equal(firstDecision(core.Arrive(resumed, 2, keyedHead(resumed, "a"))), failure.NotReady)
@@ -140,9 +141,9 @@
 	now := start.Add(6 * time.Second)
 	tickTo(core, start, now)
 	isolated := head(now)
-	isolated.Piggyback.ContactAgeMillis = 6000 // the router hears from nobody either
+	isolated.Piggyback.ContactAgeMillis = 6000 // the router has no contact either
 	is.Equal(firstDecision(core.Arrive(now, 1, isolated)), failure.NotReady)
-	is.Equal(firstDecision(core.Arrive(now, 2, head(now))), "start") // this router does
+	is.Equal(firstDecision(core.Arrive(now, 2, head(now))), "start") // this router has contact to its peers
 }
 
 func TestAgentLeavesOnAnyLeavingSignal(t *testing.T) {
@@ -158,7 +159,7 @@
 		"traffic": func(c *Core) {
 			c.Control(start, coordination.PiggybackedRecords{Records: []membership.Record{{ID: "a", Incarnation: incarnation, State: membership.StateLeaving}}})
 		},
-		"its successor": func(c *Core) {
+		"record of a newer incarnation": func(c *Core) {
 			c.Control(start, coordination.PiggybackedRecords{Records: []membership.Record{{ID: "a", Incarnation: incarnation + 1}}})
 		},
 	}
--- a/internal/agent/agenthttp/forward.go
+++ b/internal/agent/agenthttp/forward.go
@@ -14,34 +14,35 @@
 	"github.com/harriernotch/harriernotch/internal/hop"
 )
 
-// Headers that an agent sets for its back end.
+// Headers that an agent adds to requests to its back end.
 const (
 	headerRequestID = "X-Request-Id"
 	headerPriority  = "X-Priority"
 )
 
-// maxKeptReply bounds the answer that is kept for a repeat, in bytes.
+// maxStoredReply bounds the body of an answer that is stored for replay, in bytes.
 const maxStoredReply = 64 << 10
 
-// keptReplyOverhead is the rough memory of a kept answer beside its body.
+// storedReplyOverhead is an estimate of the memory that a stored answer takes in
+// addition to its body, in bytes.
 const storedReplyOverhead = 1 << 10
 
-// keptReply is a whole answer under an idempotency key.
+// storedReply is the complete answer to a request with an idempotency key.
 type storedReply struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// forward runs a started request at the back end and passes the answer on.
+// forward sends a started request to the back end and passes the answer on.
 func (s *Server) forward(w http.ResponseWriter, r *http.Request, head hop.Head, id admission.RequestID) {
 	finished := admission.Finished{ID: id}
-	// The deferred call also runs when forwarding panics to break a stream.
+	// Deferred, so that it also runs when passOn panics to abort the answer.
 	defer func() { s.finish(finished) }()
 	ctx := r.Context()
 	if head.Key != "" {
-		// A keyed run goes on when its caller leaves: the caller's repeat gets
-		// the outcome then.
+		// A keyed request continues when its caller disconnects: a repeat by the
+		// caller then gets the stored outcome.
 		ctx = context.WithoutCancel(ctx)
 	}
 	response, err := s.callBackEnd(ctx, r, head)
@@ -66,7 +67,8 @@
 	return s.config.Transport.RoundTrip(request)
 }
 
-// answerLost tells that the back end gave no answer.
+// answerBackEndFailure answers the router when the back end gave no answer. If notRun,
+// the request certainly wasn't sent, and the router may try another back end.
 func (s *Server) answerBackEndFailure(w http.ResponseWriter, head hop.Head, cause error, notRun bool) {
 	s.config.Log.WithFields(logrus.Fields{"request": head.RequestID, "not_run": notRun}).WithError(cause).Warn("no answer from the back end")
 	if notRun {
@@ -77,8 +79,10 @@
 	failure.WriteHTTP(w, failure.New(failure.BackendFailed, "the back end broke off before it answered; the request may have run"))
 }
 
-// passOn copies the answer. A broken one is made visible: the connection to the
-// router is cut, so that no short answer looks whole.
+// passOn copies the answer to the router and returns the outcome to store. If the
+// answer is incomplete, it aborts the connection to the router, so that a truncated
+// answer can't be taken for a complete one. If only the router is gone, it reads the
+// rest of the answer to a keyed request, for the outcome.
 func (s *Server) passOn(w http.ResponseWriter, response *http.Response, path string, head hop.Head) admission.Outcome {
 	hop.CopyAnswerHeaders(w.Header(), response)
 	s.setReply(w.Header(), nil)
@@ -87,9 +91,9 @@
 	copier := hop.NewCopier(path, response.Header)
 	copier.Observe = recorder.observe
 	if err := copier.Copy(w, response.Body); err != nil {
-		s.config.Log.WithField("request", head.RequestID).WithError(err).Info("answer broke off")
+		s.config.Log.WithField("request", head.RequestID).WithError(err).Info("answer to the router interrupted")
 		if head.Key != "" && hop.ReceiverGone(err) {
-			// The run went on without its caller; take the rest of the answer.
+			// The request continues without its caller: store the rest of the answer.
 			if _, err := io.Copy(recorder, response.Body); err == nil {
 				return recorder.outcome(response)
 			}
@@ -99,7 +103,8 @@
 	return recorder.outcome(response)
 }
 
-// replyKeeper keeps an answer for a repeat, up to a limit.
+// replyRecorder records an answer's body for replay. A body over maxStoredReply is
+// discarded.
 type replyRecorder struct {
 	enabled  bool
 	overflow bool
@@ -108,7 +113,7 @@
 
 func (k *replyRecorder) observe(chunk []byte) { _, _ = k.Write(chunk) }
 
-// Write implements io.Writer; it never fails.
+// Write implements io.Writer. It never fails.
 func (k *replyRecorder) Write(chunk []byte) (int, error) {
 	if !k.enabled || k.overflow {
 		return len(chunk), nil
@@ -132,7 +137,8 @@
 	return outcome
 }
 
-// answerReplay sends the first run's answer again.
+// answerReplay answers with the stored answer of the key's first run, or with an error
+// if that answer was not stored.
 func (s *Server) answerReplay(w http.ResponseWriter, outcome admission.Outcome) {
 	s.setReply(w.Header(), nil)
 	stored, ok := outcome.Reply.(*storedReply)
--- a/internal/agent/agenthttp/notice.go
+++ b/internal/agent/agenthttp/notice.go
@@ -9,15 +9,16 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// Headers in which a back end speaks of itself.
+// Headers in which a back end announces its own state.
 const (
-	// headerLeaving is in all answers of one that leaves.
+	// headerLeaving is set in all answers of a back end that is leaving.
 	headerLeaving = "X-Leaving"
-	// headerRest is in refusals of one that wants nothing for so many seconds.
+	// headerRetryAfter states for how many seconds the back end wants no requests. It
+	// counts only in answers with status 503.
 	headerRetryAfter = "Retry-After"
 )
 
-// takeNotice takes what an answer says of the back end itself.
+// applyNotice applies the notice in an answer: what it says about the back end itself.
 func (s *Server) applyNotice(response *http.Response) {
 	leaving := response.Header.Get(headerLeaving) != ""
 	retryAfter := time.Duration(0)
@@ -30,7 +31,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !leaving || !s.core.Gate().IsLeaving() {
-		s.config.Log.WithFields(logrus.Fields{"leaving": leaving, "rest_ms": retryAfter.Milliseconds()}).Warn("the back end wants no requests")
+		s.config.Log.WithFields(logrus.Fields{"leaving": leaving, "rest_ms": retryAfter.Milliseconds()}).Warn("the back end announced that it accepts no requests")
 	}
 	s.perform(s.core.ApplyNotice(time.Now(), leaving, retryAfter))
 }
--- a/internal/agent/agenthttp/server.go
+++ b/internal/agent/agenthttp/server.go
@@ -1,5 +1,6 @@
-// Package agenthttp is the shell of an agent: it takes requests from routers
-// over HTTP, asks the core about each, and passes on what the core starts.
+// Package agenthttp does the I/O of an agent: it accepts requests from routers over
+// HTTP, passes each to the agent's Core, and forwards those that the Core starts to
+// the back end.
 package agenthttp
 
 import (
@@ -20,22 +21,22 @@
 	"github.com/harriernotch/harriernotch/internal/peering"
 )
 
-// Config sets up a Server.
+// Config configures a Server.
 type Config struct {
-	// Core decides.
+	// Core decides which requests are started, refused or answered from storage.
 	Core *agent.Core
 	// Credential proves membership of the cluster.
 	Credential hop.Credential
 	// BackEnd is the base URL of the engine or plain service.
 	BackEnd string
-	// Transport reaches the back end; it must come from hop.NewTransport.
+	// Transport sends requests to the back end. It must come from hop.NewTransport.
 	Transport http.RoundTripper
-	// Log and Metrics take what operators should know.
+	// Log and Metrics receive log entries and metrics.
 	Log     logrus.FieldLogger
 	Metrics tally.Scope
 }
 
-// Server is an agent's peer listener.
+// Server handles the requests at an agent's peer listener.
 type Server struct {
 	config  Config
 	peering *peering.Peering
@@ -51,13 +52,13 @@
 	load     tally.Gauge
 }
 
-// decision is the core's word on a request, with the time it was given.
+// decision is the core's decision on a request and the time at which it was made.
 type decision struct {
 	action admission.Action
 	at     time.Time
 }
 
-// New returns a server. SetPeering must follow before it serves.
+// New returns a server. SetPeering must be called before it serves.
 func New(config Config) *Server {
 	return &Server{
 		config:   config,
@@ -69,17 +70,18 @@
 	}
 }
 
-// SetPeering connects the control plane.
+// SetPeering sets the peering that executes control actions and accepts control
+// connections.
 func (s *Server) SetPeering(p *peering.Peering) { s.peering = p }
 
-// Deliver passes a control event to the core.
+// Deliver passes an event of the control plane to the core.
 func (s *Server) Deliver(event coordination.Event) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.perform(s.core.Control(time.Now(), event))
 }
 
-// Tick must be called once a tick period.
+// Tick passes a tick to the core. It must be called once per tick period.
 func (s *Server) Tick() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -87,27 +89,27 @@
 	s.load.Update(float64(s.core.Gate().Load()))
 }
 
-// View calls read with the core, which it must not keep.
+// View calls read with the core. read must not retain it.
 func (s *Server) View(read func(*agent.Core)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	read(s.core)
 }
 
-// Ready tells whether the agent takes new work.
+// Ready reports whether the agent accepts new work.
 func (s *Server) Ready() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.core.Node().Ready(time.Now()) && !s.core.Gate().IsLeaving()
 }
 
-// Drain closes the gate first and spreads the word second. Work in flight goes
-// on.
+// Drain closes the gate and then announces to the peers that the agent is leaving.
+// Requests in flight continue.
 func (s *Server) Drain() {
 	s.Deliver(coordination.LocalState{State: membership.StateLeaving})
 }
 
-// perform carries out effects. The mutex is held; nothing here blocks.
+// perform executes effects. The caller holds the mutex; nothing here blocks.
 func (s *Server) perform(effects agent.Effects) {
 	if s.peering != nil {
 		s.peering.Perform(effects.Control)
@@ -129,7 +131,7 @@
 
 func (s *Server) sendDecision(id admission.RequestID, d decision) {
 	if waiting, known := s.pending[id]; known {
-		waiting <- d // the channel holds the one decision a request gets
+		waiting <- d // doesn't block: the channel has room for the only decision that a request gets
 		delete(s.pending, id)
 	}
 }
@@ -163,7 +165,7 @@
 	}
 }
 
-// arrive hands the request to the core.
+// arrive passes the request to the core. The decision arrives on the returned channel.
 func (s *Server) arrive(head hop.Head) (admission.RequestID, chan decision) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -175,7 +177,7 @@
 	return id, waiting
 }
 
-// abandon takes back a request whose caller left before it was started.
+// abandon cancels a request whose caller disconnected before it was started.
 func (s *Server) abandon(id admission.RequestID, waiting chan decision) {
 	s.mutex.Lock()
 	delete(s.pending, id)
@@ -183,7 +185,7 @@
 	s.mutex.Unlock()
 	select {
 	case d := <-waiting:
-		// It was started at the same moment: give the place back.
+		// The core started it before the cancellation: release its slot.
 		if _, started := d.action.(admission.Start); started {
 			s.finish(admission.Finished{ID: id, NotRun: true})
 		}
@@ -197,8 +199,9 @@
 	s.perform(s.core.Finished(time.Now(), event))
 }
 
-// maxDecisionAge is how old a decision to start a keyed request may be. A
-// process that was paused between the decision and the call must not make it.
+// maxDecisionAge is the maximum age of a decision to start a keyed request. If the
+// process was paused between the decision and the call to the back end, it must not
+// make the call, because its lease may have lapsed since the decision.
 const maxDecisionAge = 500 * time.Millisecond
 
 func (s *Server) execute(w http.ResponseWriter, r *http.Request, head hop.Head, id admission.RequestID, d decision) {
@@ -217,7 +220,7 @@
 	}
 }
 
-// answerRefusal tells the router that the request was not run here.
+// answerRefusal answers the router that the request did not run here.
 func (s *Server) answerRefusal(w http.ResponseWriter, refused admission.Refuse) {
 	s.setReply(w.Header(), &refused)
 	failure.WriteHTTP(w, &failure.Error{
@@ -232,6 +235,6 @@
 	reply := s.core.Reply(time.Now(), refused)
 	s.mutex.Unlock()
 	if err := hop.SetReply(header, reply); err != nil {
-		s.config.Log.WithError(err).Error("encode a reply")
+		s.config.Log.WithError(err).Error("encoding the reply header failed")
 	}
 }
--- a/internal/agent/observe.go
+++ b/internal/agent/observe.go
@@ -8,8 +8,8 @@
 	"github.com/harriernotch/harriernotch/internal/membership"
 )
 
-// observePool lists the loads of the pool's other members. One that is gone or
-// taken for dead doesn't count towards the mean.
+// observePool returns the loads of the pool's other members. Members that are
+// leaving, have left or are presumed dead don't count towards the mean load.
 func (c *Core) observePool(now time.Time) admission.PoolObserved {
 	var observed admission.PoolObserved
 	pool := c.Pool()
@@ -27,10 +27,10 @@
 	return observed
 }
 
-// observeMember returns a member's load, and whether it counts. A member that
-// was not heard of since this process woke or started may be there with any
-// load: it counts as idle, which keeps the bound low, until its silence has
-// lasted long enough to mean something.
+// observeMember returns a member's load, and whether it counts. A member without
+// a record since this process started or last resumed may be running with any
+// load. It counts as idle, which keeps the bound low, until silenceGrace has
+// passed: before that, its silence is no evidence that it is dead.
 func (c *Core) observeMember(now time.Time, pool *bundle.Pool, id string) (load admission.ObservedLoad, counts bool) {
 	runningSince := c.node.RunningSince()
 	inGrace := now.Sub(runningSince) <= c.silenceGrace(pool)
@@ -51,19 +51,22 @@
 	return admission.ObservedLoad{Member: id, Load: int(entry.Load), At: entry.RecordedAt}, true
 }
 
-// settlePerMember stretches the time that a process takes to learn of its pool.
+// silenceGracePerMember extends the grace period with the size of the pool: a process
+// takes longer to receive the records of a larger pool.
 const silenceGracePerMember = 30 * time.Millisecond
 
-// settleTime is how long after a start or a pause silence means nothing yet.
+// silenceGrace returns how long after a start or a pause the silence of a member is no
+// evidence that it is dead.
 func (c *Core) silenceGrace(pool *bundle.Pool) time.Duration {
 	return c.config.Coordination.Membership.SilentAfter + time.Duration(len(pool.BackEnds))*silenceGracePerMember
 }
 
-// isSilent tells whether a member is taken for dead: it was silent for long, or
-// for one window while a router could not reach it either. Neither sign alone
-// is enough within that time: a router may be cut off, and gossip may be late.
-// Nor are both where routers reach hardly any member: then it is the routers
-// that are cut off.
+// isPresumedDead reports whether a member is presumed dead: it has been silent for
+// longer than SilentAfter, or for longer than the window of the mean load while a
+// router couldn't connect to it either. Before SilentAfter, neither sign is enough
+// alone: the router may be cut off, or gossip may be late. Both together aren't
+// enough either if the routers can't connect to half of the pool or more: then the
+// routers are probably cut off.
 func (c *Core) isPresumedDead(now time.Time, pool *bundle.Pool, entry *membership.Entry) bool {
 	age := now.Sub(entry.RecordedAt)
 	if age > c.config.Coordination.Membership.SilentAfter {
@@ -72,8 +75,8 @@
 	return age > pool.MeanWindow.Std() && c.node.Table().IsUnreachable(now, entry) && !c.routersCutOff(now, pool)
 }
 
-// routersCutOff tells whether half of the pool's other members or more count as
-// unreachable.
+// routersCutOff reports whether at least half of the pool's other members count as
+// unreachable. In a pool with at most two other members it is always false.
 func (c *Core) routersCutOff(now time.Time, pool *bundle.Pool) bool {
 	table := c.node.Table()
 	others, unreachable := 0, 0
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -1,5 +1,5 @@
-// Package eventstream splits a server-sent event stream into whole events, so
-// that an answer never carries part of one and can be continued after the last.
+// Package eventstream splits a stream of server-sent events into whole events, so that
+// an answer never contains part of an event and can be resumed after the last one.
 package eventstream
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 )
 
-// MaxEventBytes bounds one event.
+// MaxEventBytes is the maximum size of an event.
 const MaxEventBytes = 1 << 20
 
 // ErrTooLarge means that an event is larger than MaxEventBytes.
@@ -18,14 +18,14 @@
 
 // Event is one whole event.
 type Event struct {
-	// Raw is the event as it came, with its closing blank line. It is valid until
-	// the next call.
+	// Raw is the event as received, including its closing blank line. It is valid until
+	// the next call of Next.
 	Raw []byte
-	// ID is its id field, or "".
+	// ID is the event's id field, or "" if it has none.
 	ID string
 }
 
-// Reader reads events. It is not safe for concurrent use.
+// Reader reads events from a stream. It is not safe for concurrent use.
 type Reader struct {
 	source *bufio.Reader
 	buffer bytes.Buffer
@@ -33,13 +33,13 @@
 
 const readBufferBytes = 4 << 10
 
-// NewReader returns a reader of the stream.
+// NewReader returns a Reader of the stream.
 func NewReader(source io.Reader) *Reader {
 	return &Reader{source: bufio.NewReaderSize(source, readBufferBytes)}
 }
 
-// Next returns the next whole event. It returns io.EOF when the stream ended
-// after a whole event, and io.ErrUnexpectedEOF when it ended within one.
+// Next returns the next whole event. It returns io.EOF if the stream ended after a whole
+// event, and io.ErrUnexpectedEOF if it ended within one.
 func (r *Reader) Next() (Event, error) {
 	r.buffer.Reset()
 	event := Event{}
@@ -50,7 +50,8 @@
 		}
 		if isBlank(line) {
 			if r.buffer.Len() == len(line) {
-				// A blank line before an event belongs to it.
+				// A blank line before an event is part of the event. A second one
+				// ends it, as an event without fields.
 				continue
 			}
 			event.Raw = r.buffer.Bytes()
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -23,7 +23,7 @@
 	is.NoErr(err)
 	is.Equal(second.ID, "2")
 	_, err = reader.Next()
-	is.True(errors.Is(err, io.ErrUnexpectedEOF)) // the third was cut
+	is.True(errors.Is(err, io.ErrUnexpectedEOF)) // the third event is incomplete
 }
 
 func TestEndAfterWholeEventIsEOF(t *testing.T) {
@@ -51,7 +51,7 @@
 	return len(p), nil
 }
 
-// What is passed on is always a beginning of what came, cut after an event.
+// FuzzReader checks that the events, joined, are always a prefix of the stream.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\n"))
 	f.Add([]byte("\n\nid:\n\n:"))
@@ -66,7 +66,7 @@
 			passed = append(passed, event.Raw...)
 		}
 		if !bytes.HasPrefix(raw, passed) {
-			t.Fatalf("%q isn't a beginning of %q", passed, raw)
+			t.Fatalf("%q isn't a prefix of %q", passed, raw)
 		}
 	})
 }
--- a/internal/hop/copy.go
+++ b/internal/hop/copy.go
@@ -10,13 +10,13 @@
 	"github.com/go-faster/errors"
 )
 
-// ChatPathPrefix begins every path of the chat API.
+// ChatPathPrefix is the prefix of all paths of the chat API.
 const ChatPathPrefix = "/v1/"
 
 // EventStream is the media type of server-sent events.
 const EventStream = "text/event-stream"
 
-// copyBufferSize is the largest piece passed on at once, in bytes.
+// copyBufferSize is the size of the largest piece passed on at once, in bytes.
 const copyBufferSize = 32 << 10
 
 var copyBuffers = sync.Pool{New: func() any {
@@ -24,39 +24,43 @@
 	return &buffer
 }}
 
-// streamEnd closes a whole stream of the chat API.
+// streamEnd is the closing event of a complete stream of the chat API.
 var streamEnd = []byte("data: [DONE]")
 
-// tailSize is how much of a stream's end is kept to look for streamEnd.
+// tailSize is the number of bytes from the end of a stream in which streamEnd is
+// searched.
 const tailSize = 32
 
-// ErrStreamCut means that a stream ended without its closing event.
+// ErrStreamTruncated means that a stream ended without its closing event.
 var ErrStreamTruncated = errors.New("the stream ended without its closing event")
 
-// receiverError marks a failure to pass an answer on: its source is still whole.
+// receiverError is an error in writing to an answer's receiver. The source may still be
+// intact.
 type receiverError struct{ cause error }
 
-func (e *receiverError) Error() string { return "pass the answer on: " + e.cause.Error() }
+func (e *receiverError) Error() string { return "write the answer to its receiver: " + e.cause.Error() }
 func (e *receiverError) Unwrap() error { return e.cause }
 
-// ReceiverGone tells whether a copy failed since its receiver broke off, and not
+// ReceiverGone reports whether a copy failed because of its receiver, and not because of
 // its source.
 func ReceiverGone(err error) bool {
 	var gone *receiverError
 	return errors.As(err, &gone)
 }
 
-// Copier passes an answer's body on.
+// Copier copies an answer's body to the next hop.
 type Copier struct {
-	// Stream flushes every piece.
+	// Stream flushes after every piece.
 	Stream bool
-	// RequireEnd reports a stream without the chat API's closing event as cut.
+	// RequireEnd returns ErrStreamTruncated for a stream without the chat API's closing
+	// event at its end.
 	RequireEnd bool
-	// Observe sees every piece before it is passed on; it may be nil.
+	// Observe is called with every piece before it is passed on; it may be nil.
 	Observe func(piece []byte)
 }
 
-// NewCopier returns the copier for an answer to a request for the path.
+// NewCopier returns the copier for an answer with the given headers to a request for
+// the path.
 func NewCopier(path string, header http.Header) Copier {
 	stream := isEventStream(header)
 	return Copier{Stream: stream, RequireEnd: stream && strings.HasPrefix(path, ChatPathPrefix)}
@@ -66,12 +70,13 @@
 	return strings.HasPrefix(header.Get("Content-Type"), EventStream)
 }
 
-// Copy copies until the end. An error means that the answer is not whole,
-// whether its source or its receiver broke off.
+// Copy copies until the end of source. An error means that the receiver didn't get the
+// complete answer, because either the source or the receiver failed; ReceiverGone
+// distinguishes the two.
 func (c Copier) Copy(w http.ResponseWriter, source io.Reader) error {
 	pooled, ok := copyBuffers.Get().(*[]byte)
 	if !ok {
-		return errors.New("the buffer pool holds a foreign value")
+		return errors.New("the buffer pool contains a value of another type")
 	}
 	defer copyBuffers.Put(pooled)
 	buffer := *pooled
@@ -119,7 +124,8 @@
 	return nil
 }
 
-// keepTail returns the last bytes of the tail and the piece together.
+// appendTail returns the last tailSize bytes of the tail followed by the piece. It
+// reuses the tail's memory.
 func appendTail(tail, piece []byte) []byte {
 	if len(piece) >= tailSize {
 		return append(tail[:0], piece[len(piece)-tailSize:]...)
--- a/internal/hop/head.go
+++ b/internal/hop/head.go
@@ -1,5 +1,7 @@
-// Package hop is what a router and an agent tell each other beside the caller's
-// own request and answer. It travels in one HTTP header each way, as CBOR.
+// Package hop implements the connection between a router and an agent, or between a
+// gateway and a back end: the metadata that router and agent exchange in addition to
+// the caller's request and the answer, in one header of CBOR in each direction; the
+// transports; and the copying of headers and bodies from one hop to the next.
 package hop
 
 import (
@@ -18,7 +20,7 @@
 	"github.com/harriernotch/harriernotch/internal/routing"
 )
 
-// Headers of the hop. They never reach callers or back ends.
+// Headers between nodes. They are never passed on to callers or back ends.
 const (
 	// HeaderCluster proves knowledge of the cluster key.
 	HeaderCluster = "Harriernotch-Cluster"
@@ -26,86 +28,90 @@
 	HeaderHead = "Harriernotch-Head"
 	// HeaderReply carries a Reply.
 	HeaderReply = "Harriernotch-Reply"
-	// HeaderNode names the answering node of a control connection.
+	// HeaderNode is the ID of the sending node, in both directions, when a control
+	// connection is opened.
 	HeaderNode = "Harriernotch-Node"
 )
 
-// maxHeadLength bounds the encoded header, in bytes.
+// maxHeadLength bounds the encoded value of HeaderHead and HeaderReply, in bytes.
 const maxHeadLength = 16 << 10
 
-// News is the control information that rides on traffic in both directions.
+// Piggyback is control information that is sent with requests and answers.
 type Piggyback struct {
-	// Records are the sender's freshest records of the pool.
+	// Records holds the sender's freshest membership records of the pool.
 	Records []membership.Record `cbor:"1,keyasint,omitempty"`
 	// Number is the sender's bundle number.
 	Number uint64 `cbor:"2,keyasint"`
-	// ContactAgeMillis is how long ago the sender heard from its peers.
+	// ContactAgeMillis is how long ago the sender last heard from any peer.
 	ContactAgeMillis int64 `cbor:"3,keyasint"`
 }
 
-// Head is what a router tells an agent about a request.
+// Head is a router's metadata for a request to an agent.
 type Head struct {
-	// RequestID names the request in both nodes' logs.
+	// RequestID identifies the request in both nodes' logs.
 	RequestID string `cbor:"1,keyasint"`
-	// BackEnd is the back end that the router means to reach; an agent that
-	// stands before another one refuses.
+	// BackEnd is the ID of the intended back end. The agent of another back end
+	// refuses the request.
 	BackEnd string `cbor:"2,keyasint"`
 	// Tenant is the authenticated tenant.
 	Tenant string `cbor:"3,keyasint"`
-	// Priority is the request's class.
+	// Priority is the request's priority class.
 	Priority admission.Priority `cbor:"4,keyasint"`
-	// RemainingMillis is the time until the deadline. A duration, not a time,
-	// so that clock error between the machines doesn't matter.
+	// RemainingMillis is the time until the deadline. It is a duration and not a point
+	// in time, so that differences between the machines' clocks don't matter.
 	RemainingMillis int64 `cbor:"5,keyasint"`
-	// Affine says that the chat's context is believed to be here.
+	// Affine means that the back end is expected to hold the chat's context, or owns the
+	// request's key.
 	Affine bool `cbor:"6,keyasint"`
-	// Last says that the router makes no further attempt: the request may wait a
-	// moment for a place rather than be refused.
+	// LastAttempt means that the router will make no further attempt after a refusal, so
+	// the request may wait for room under the bound instead of being refused at once.
 	LastAttempt bool `cbor:"13,keyasint,omitempty"`
-	// LoadsMet are the loads of the back ends that refused before.
+	// ReportedLoads holds the loads reported by earlier refusals.
 	ReportedLoads []routing.ReportedLoad `cbor:"7,keyasint,omitempty"`
-	// Unreachable are members of the pool that the router could not reach a
-	// moment ago.
+	// Unreachable holds the members of the pool to which a connection of the router
+	// failed recently.
 	Unreachable []string `cbor:"12,keyasint,omitempty"`
-	// Key is the idempotency key of an unrepeatable request, or "".
+	// Key is the idempotency key of a non-repeatable request, or "".
 	Key string `cbor:"8,keyasint,omitempty"`
-	// KeyIssuedMillis is the key's time of issue in Unix milliseconds.
+	// KeyIssuedMillis is when the key was issued, in Unix milliseconds.
 	KeyIssuedMillis int64 `cbor:"9,keyasint,omitempty"`
-	// KeyDigest is a hash of the request.
+	// KeyDigest is a hash of the request's path and body.
 	KeyDigest uint64 `cbor:"10,keyasint,omitempty"`
-	// News is the router's control information.
+	// Piggyback is the router's control information.
 	Piggyback Piggyback `cbor:"11,keyasint"`
 }
 
-// Reply is what an agent tells a router beside the answer.
+// Reply is an agent's metadata for an answer to a router.
 type Reply struct {
-	// Refused says that the request was not run here and Kind says why.
+	// Refused means that the agent did not run the request; Kind says why. The request
+	// may have run before, if Kind says so.
 	Refused bool `cbor:"1,keyasint"`
-	// Kind is a failure's stable name, "" when the answer is the back end's.
+	// Kind is the name of a failure.Kind, or "" if the answer is the back end's.
 	Kind string `cbor:"2,keyasint,omitempty"`
-	// RetryAfterMillis is when to come back.
+	// RetryAfterMillis is the time after which a retry may be accepted.
 	RetryAfterMillis int64 `cbor:"3,keyasint,omitempty"`
 	// Load is the back end's load.
 	Load int `cbor:"4,keyasint"`
-	// Incarnation is the agent's.
+	// Incarnation is the agent's incarnation.
 	Incarnation membership.Incarnation `cbor:"5,keyasint"`
-	// News is the agent's control information.
+	// Piggyback is the agent's control information.
 	Piggyback Piggyback `cbor:"6,keyasint"`
 }
 
-// KeyIssued returns the key's time of issue.
+// KeyIssued returns when the key was issued.
 func (h Head) KeyIssued() time.Time { return time.UnixMilli(h.KeyIssuedMillis) }
 
 // Remaining returns the time until the deadline.
 func (h Head) Remaining() time.Duration { return time.Duration(h.RemainingMillis) * time.Millisecond }
 
-// FailureKind returns the reply's kind; ok is false when there is none.
+// FailureKind returns the reply's kind. The boolean is false if there is none or it is
+// unknown.
 func (r Reply) FailureKind() (failure.Kind, bool) { return failure.Parse(r.Kind) }
 
-// SetHead writes the head into a request's headers.
+// SetHead adds the head to a request's headers.
 func SetHead(header http.Header, head Head) error { return set(header, HeaderHead, head) }
 
-// SetReply writes the reply into an answer's headers.
+// SetReply adds the reply to an answer's headers.
 func SetReply(header http.Header, reply Reply) error { return set(header, HeaderReply, reply) }
 
 func set(header http.Header, name string, value any) error {
@@ -117,8 +123,8 @@
 	return nil
 }
 
-// ParseHead reads a head; what it returns came from a node with the cluster
-// key but is still bounded in size.
+// ParseHead reads the head from a request's headers. Callers check the sender's
+// credential first; the size is limited nevertheless.
 func ParseHead(header http.Header) (Head, error) {
 	var head Head
 	if err := parse(header, HeaderHead, &head); err != nil {
@@ -130,7 +136,7 @@
 	return head, nil
 }
 
-// ParseReply reads a reply.
+// ParseReply reads the reply from an answer's headers.
 func ParseReply(header http.Header) (Reply, error) {
 	var reply Reply
 	err := parse(header, HeaderReply, &reply)
@@ -155,7 +161,7 @@
 	return nil
 }
 
-// Credential proves knowledge of the cluster key without showing it.
+// Credential proves knowledge of the cluster key without revealing the key.
 type Credential struct {
 	value string
 }
@@ -170,7 +176,7 @@
 // Set adds the credential to a request's headers.
 func (c Credential) Set(header http.Header) { header.Set(HeaderCluster, c.value) }
 
-// Check refuses a request without the credential.
+// Check returns an error unless the headers contain the credential.
 func (c Credential) Check(header http.Header) error {
 	if hmac.Equal([]byte(header.Get(HeaderCluster)), []byte(c.value)) {
 		return nil
--- a/internal/hop/headers.go
+++ b/internal/hop/headers.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// HeaderReplayed marks an answer that was kept from the first run under an
-// idempotency key.
+// HeaderReplayed marks an answer to a repeat of a request with an idempotency key that
+// has already run: the request wasn't run again.
 const HeaderReplayed = "Harriernotch-Replayed"
 
-// ownHeaderPrefix begins the system's own headers; they are set anew at every
-// hop and never passed on.
+// ownHeaderPrefix is the prefix of the system's own headers. CopyHeaders drops them;
+// each hop sets its own.
 const ownHeaderPrefix = "Harriernotch-"
 
-// notPassed are the headers that belong to one connection, carry the caller's
-// secret, or would let a transport replay the request.
+// notForwarded holds the headers that apply to one connection only, carry the caller's
+// credentials, or mark the request as idempotent to http.Transport, which replays such a
+// request if it can send the body again.
 var notForwarded = map[string]bool{
 	"Authorization":       true,
 	"Connection":          true,
@@ -33,7 +34,7 @@
 	"X-Idempotency-Key":   true,
 }
 
-// connectionHeaders are the headers that belong to one connection.
+// connectionHeaders holds the headers that apply to one connection only.
 var connectionHeaders = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
@@ -49,8 +50,8 @@
 	"Upgrade":             true,
 }
 
-// CopyEndToEnd copies every header but those that belong to one connection,
-// whether by custom or because the Connection header names them.
+// CopyEndToEnd copies all end-to-end headers: all except those in connectionHeaders and
+// those that the Connection header names.
 func CopyEndToEnd(to, from http.Header) {
 	named := map[string]bool{}
 	for _, list := range from["Connection"] {
@@ -66,7 +67,8 @@
 	}
 }
 
-// CopyHeaders copies what may pass from one hop to the next.
+// CopyHeaders copies the headers that may be passed on to the next hop: all except
+// those in notForwarded and the system's own.
 func CopyHeaders(to, from http.Header) {
 	for name, values := range from {
 		if notForwarded[name] || strings.HasPrefix(name, ownHeaderPrefix) {
@@ -76,9 +78,10 @@
 	}
 }
 
-// CopyAnswerHeaders copies an answer's headers to the next hop. A known length
-// is passed on, so that a short answer can't look whole. A stream's is not: one
-// that lacks its closing event must still be broken off visibly at its end.
+// CopyAnswerHeaders copies an answer's headers to the next hop. A known length is passed
+// on, so that a truncated answer can't be taken for a complete one. A stream's length is
+// not: a stream without its closing event must be aborted at its end, which the receiver
+// couldn't notice after it has received the announced length.
 func CopyAnswerHeaders(to http.Header, answer *http.Response) {
 	CopyHeaders(to, answer.Header)
 	if answer.ContentLength >= 0 && !isEventStream(answer.Header) {
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -88,7 +88,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		head, err := ParseHead(http.Header{HeaderHead: {text}})
 		if err == nil && head.Priority > 1 {
-			t.Fatal("an unknown priority was taken")
+			t.Fatal("an unknown priority was accepted")
 		}
 		_, _ = ParseReply(http.Header{HeaderReply: {text}})
 	})
--- a/internal/hop/transport.go
+++ b/internal/hop/transport.go
@@ -10,46 +10,48 @@
 	"github.com/go-faster/errors"
 )
 
-// Protocol is the HTTP version of a hop.
+// Protocol is the HTTP version between two nodes.
 type Protocol string
 
-// The protocols of a hop, all without encryption.
+// The supported protocols, all without encryption.
 const (
-	// HTTP1 uses one connection for each request under way.
+	// HTTP1 uses one connection for each request in flight.
 	HTTP1 Protocol = "http1"
-	// HTTP2 carries all requests between two nodes on one connection.
+	// HTTP2 sends all requests between two nodes over one connection.
 	HTTP2 Protocol = "http2"
 )
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialError marks a failure to connect: nothing of the request was sent.
+// dialError is a failure to connect: nothing of the request was sent.
 type dialError struct{ cause error }
 
 func (e *dialError) Error() string { return "connect: " + e.cause.Error() }
 func (e *dialError) Unwrap() error { return e.cause }
 
-// NothingSent tells whether a transport error means that no part of the
-// request left this process.
+// NothingSent reports whether a transport error means that no part of the request left
+// this process.
 func NothingSent(err error) bool {
 	var failed *dialError
 	return errors.As(err, &failed)
 }
 
 const (
-	dialTimeout     = time.Second
-	idleTimeout     = 90 * time.Second
-	idlePerHost     = 64
+	dialTimeout = time.Second
+	idleTimeout = 90 * time.Second
+	idlePerHost = 64
+	// http2PingAfter is how long an HTTP/2 connection may receive nothing before a ping is
+	// sent. If the ping isn't answered within http2PingWithin, the connection is closed.
 	http2PingAfter  = 2 * time.Second
 	http2PingWithin = 2 * time.Second
 )
 
-// keepAlive finds a peer that vanished without a word within eight seconds,
-// while a request waits for its answer.
+// keepAlive detects within eight seconds a peer that has become unreachable without
+// closing the connection, while a request waits for its answer.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: 2 * time.Second, Count: 3}
 
-// TransportConfig sets up a transport to agents or back ends.
+// TransportConfig configures a transport to agents or back ends.
 type TransportConfig struct {
 	// Protocol is the HTTP version.
 	Protocol Protocol
@@ -57,10 +59,10 @@
 	Dial DialFunc
 }
 
-// NewTransport returns a transport for requests made with NewRequest. Together
-// they never send a request twice: http.Transport replays one by itself, on a
-// reused connection that turns out dead, only if the request has no body or a
-// body it can rewind; see oneShotBody.
+// NewTransport returns a transport for requests made with NewRequest. Together they never
+// send a request twice: if a reused connection turns out to be dead, http.Transport
+// replays a request on its own, but only one that has no body or a body that it can
+// rewind; see oneShotBody.
 func NewTransport(config TransportConfig) *http.Transport {
 	dial := config.Dial
 	if dial == nil {
@@ -86,14 +88,16 @@
 	}
 }
 
-// oneShotBody is a request body that can't be sent again. It is never nil and
-// never http.NoBody, and the request that carries it has no GetBody, which
-// takes from http.Transport every ground for a replay.
+// oneShotBody is a request body that can't be sent again. http.Transport replays a
+// request only if its body is nil or http.NoBody, or if it has GetBody. A oneShotBody is
+// neither nil nor http.NoBody, and its request has no GetBody.
 type oneShotBody struct{ io.ReadCloser }
 
-// NewRequest returns a request that http.Transport will not replay. The body
-// may be nil. Headers are left to the caller, who must not set Idempotency-Key
-// or X-Idempotency-Key: they too allow a replay.
+// NewRequest returns a request that http.Transport doesn't replay. The body may be nil.
+// The caller sets the headers. Idempotency-Key and X-Idempotency-Key make http.Transport
+// treat a request of any method as idempotent, and replay it if the body can be sent
+// again. CopyHeaders drops these headers. CopyEndToEnd keeps them; only the oneShotBody
+// prevents the replay then.
 func NewRequest(ctx context.Context, method, url string, body io.ReadCloser, length int64) (*http.Request, error) {
 	if body == nil {
 		body = http.NoBody
@@ -110,19 +114,19 @@
 }
 
 const (
-	// directDialTimeout bounds a connection straight to a back end: a machine that
-	// is gone answers nothing, and another back end can be tried.
+	// directDialTimeout bounds the opening of a connection directly to a back end. A
+	// machine that has gone doesn't answer at all, and another back end can be tried.
 	directDialTimeout = 250 * time.Millisecond
-	// directIdleTimeout is shorter than back ends keep idle connections, so that a
-	// request seldom meets one that is being closed.
+	// directIdleTimeout is shorter than the time for which back ends keep idle
+	// connections, so that a request is rarely sent on one that is being closed.
 	directIdleTimeout = 3 * time.Second
-	// unacknowledgedLimit is how long sent bytes may go unacknowledged before the
-	// connection counts as dead.
+	// unacknowledgedLimit is how long sent bytes may remain unacknowledged before the
+	// kernel closes the connection.
 	unacknowledgedLimit = 1200 * time.Millisecond
 )
 
-// NewDirectTransport returns a transport to back ends without an agent. reuse
-// keeps connections for further requests. A nil dial uses TCP.
+// NewDirectTransport returns a transport to back ends without an agent. If reuse is set,
+// connections are kept for further requests. A nil dial uses TCP.
 func NewDirectTransport(dial DialFunc, reuse bool) *http.Transport {
 	if dial == nil {
 		dialer := &net.Dialer{Timeout: directDialTimeout, KeepAliveConfig: keepAlive, Control: limitUnacknowledged}
--- a/internal/hop/transport_test.go
+++ b/internal/hop/transport_test.go
@@ -13,9 +13,9 @@
 	"github.com/matryer/is"
 )
 
-// dyingServer answers the first request on a connection and reads the second
-// without an answer before it closes: a reused connection that turns out dead.
-// It counts the requests it has read.
+// dyingServer answers the first request on each connection, and closes the connection
+// after it has read the second one, without an answer. To the client, a reused connection
+// turns out to be dead. It counts the requests that it has read.
 type dyingServer struct {
 	listener net.Listener
 	requests atomic.Int64
@@ -68,8 +68,9 @@
 	return err
 }
 
-// TestPlainTransportReplays shows the property that the hop must not have; if
-// it ever fails, the standard library has changed and the hop can be simpler.
+// TestPlainTransportReplays shows that http.Transport on its own replays a request that has
+// an Idempotency-Key and a body that it can rewind; NewRequest and CopyHeaders prevent this.
+// If the test fails, the standard library has changed and they can be simpler.
 func TestPlainTransportReplays(t *testing.T) {
 	is := is.New(t)
 	server := startDyingServer(t)
@@ -79,7 +80,7 @@
 		request, err := http.NewRequest(http.MethodPost, "http://"+server.listener.Addr().String(), strings.NewReader("x"))
 		is.NoErr(err)
 		request.Header.Set("Idempotency-Key", "k")
-		is.NoErr(roundTrip(transport, request)) // the second one succeeds by a replay
+		is.NoErr(roundTrip(transport, request)) // the second one succeeds because it is replayed
 	}
 	is.Equal(server.requests.Load(), int64(3))
 }
@@ -108,7 +109,7 @@
 			is.NoErr(err)
 			CopyHeaders(second.Header, http.Header{"Idempotency-Key": {"k"}, "X-Idempotency-Key": {"k"}})
 			err = roundTrip(transport, second)
-			is.True(err != nil)        // the break is reported, not hidden
+			is.True(err != nil)        // the lost connection is reported, not hidden
 			is.True(!NothingSent(err)) // and the request may have run
 			is.Equal(server.requests.Load(), int64(2))
 		})
--- a/internal/hop/unacknowledged_other.go
+++ b/internal/hop/unacknowledged_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// limitUnacknowledged does nothing where the kernel has no such limit.
+// limitUnacknowledged does nothing on systems other than Linux.
 func limitUnacknowledged(_, _ string, _ syscall.RawConn) error { return nil }
--- a/internal/peering/peering.go
+++ b/internal/peering/peering.go
@@ -1,6 +1,6 @@
-// Package peering carries out a node's control actions: connections to peers
-// over WebSocket with CBOR, and calls to the platform. It holds no rule of its
-// own; every event goes to the node's core.
+// Package peering executes a node's control actions: it exchanges messages with peers
+// in CBOR over WebSocket, and calls the platform. It makes no decisions of its own; it
+// passes every event to the node's core.
 package peering
 
 import (
@@ -20,38 +20,38 @@
 	"github.com/harriernotch/harriernotch/internal/objectstore"
 )
 
-// Path is where a node takes control connections on its peer listener.
+// Path is the path for control connections on a node's peer listener.
 const Path = "/control"
 
 const (
-	// sendQueue is the number of messages that may wait for a slow peer before
-	// its connection is closed.
+	// sendQueue is the number of messages that may wait to be sent to a slow peer. When
+	// the queue is full, the connection is closed.
 	sendQueue = 64
-	// dialTimeout bounds the opening of a connection.
+	// dialTimeout bounds the time to open a connection.
 	dialTimeout = 3 * time.Second
-	// writeTimeout bounds the sending of one message.
+	// writeTimeout bounds the time to send one message.
 	writeTimeout = 5 * time.Second
 )
 
-// Config sets up a Peering.
+// Config configures a Peering.
 type Config struct {
-	// NodeID is this node.
+	// NodeID is the ID of this node.
 	NodeID string
 	// Credential proves membership of the cluster.
 	Credential hop.Credential
-	// Platform is the platform; nil for none.
+	// Platform is the client of the platform; nil if there is none.
 	Platform objectstore.Client
 	// Dial opens connections to peers; nil uses TCP.
 	Dial hop.DialFunc
-	// Deliver passes an event to the node's core and carries out its actions.
+	// Deliver passes an event to the node's core and executes the resulting actions.
 	Deliver func(coordination.Event)
-	// Log takes what operators should know.
+	// Log receives log entries.
 	Log logrus.FieldLogger
 	// Metrics counts messages and bytes.
 	Metrics tally.Scope
 }
 
-// Peering runs a node's connections. Close ends them.
+// Peering manages a node's control connections.
 type Peering struct {
 	config Config
 	client *http.Client
@@ -65,7 +65,7 @@
 	links  map[coordination.LinkID]*connection
 }
 
-// connection is one open link.
+// connection is one open control connection.
 type connection struct {
 	id     coordination.LinkID
 	socket *websocket.Conn
@@ -86,7 +86,8 @@
 	}
 }
 
-// Close ends all connections and waits for their tasks.
+// Close closes all connections that Perform opened or ServeHTTP accepted, and waits for
+// the tasks that Perform started.
 func (p *Peering) Close() {
 	p.mutex.Lock()
 	p.closed = true
@@ -95,7 +96,7 @@
 	p.tasks.Wait()
 }
 
-// spawn runs a task until Close, unless Close has begun.
+// spawn starts a task for which Close waits. It does nothing if Close has been called.
 func (p *Peering) spawn(task func()) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -104,7 +105,7 @@
 	}
 }
 
-// Perform carries out actions. It doesn't block.
+// Perform executes actions. It doesn't block.
 func (p *Peering) Perform(actions []coordination.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -134,8 +135,8 @@
 	return p.links[id]
 }
 
-// send queues a message. A peer that doesn't keep up loses its connection: what
-// it missed is sent anew on the next one.
+// send queues a message. If the peer is too slow and the queue is full, the connection is
+// closed; what the peer missed is sent again on the next connection.
 func (p *Peering) send(action coordination.Send) {
 	link := p.lookup(action.Link)
 	if link == nil {
@@ -143,7 +144,7 @@
 	}
 	raw, err := action.Message.Encode()
 	if err != nil {
-		p.config.Log.WithError(err).Error("encode a control message")
+		p.config.Log.WithError(err).Error("encoding a control message failed")
 		return
 	}
 	select {
@@ -167,7 +168,7 @@
 	header.Set(hop.HeaderNode, p.config.NodeID)
 	socket, response, err := websocket.Dial(ctx, "ws://"+action.Address+Path, &websocket.DialOptions{HTTPClient: p.client, HTTPHeader: header})
 	if err != nil {
-		p.config.Log.WithField("address", action.Address).WithError(err).Debug("no control connection")
+		p.config.Log.WithField("address", action.Address).WithError(err).Debug("opening a control connection failed")
 		p.config.Deliver(coordination.LinkDown{Address: action.Address, Peer: action.Peer})
 		return
 	}
@@ -180,7 +181,7 @@
 	p.serve(socket, peer, true)
 }
 
-// ServeHTTP takes a control connection from a peer.
+// ServeHTTP accepts a control connection from a peer and runs it until it ends.
 func (p *Peering) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	peer := r.Header.Get(hop.HeaderNode)
 	if peer == "" || peer == p.config.NodeID {
@@ -195,7 +196,7 @@
 	p.serve(socket, peer, false)
 }
 
-// serve runs a connection until it ends.
+// serve registers a connection and runs it until it ends.
 func (p *Peering) serve(socket *websocket.Conn, peer string, dialed bool) {
 	socket.SetReadLimit(coordination.MaxMessageSize)
 	ctx, cancel := context.WithCancel(p.ctx)
@@ -231,7 +232,7 @@
 		p.config.Metrics.Counter("control_bytes_received").Inc(int64(len(raw)))
 		message, err := coordination.DecodeMessage(raw)
 		if err != nil {
-			p.config.Log.WithError(err).Warn("control message refused")
+			p.config.Log.WithError(err).Warn("invalid control message; closing the connection")
 			return
 		}
 		p.config.Deliver(coordination.Received{Link: link.id, Message: message})
@@ -268,7 +269,7 @@
 	object, err := p.readBundle(action)
 	if err != nil {
 		if p.ctx.Err() == nil {
-			p.config.Log.WithError(err).Debug("the platform gave no bundle")
+			p.config.Log.WithError(err).Debug("reading the bundle from the platform failed")
 			p.config.Metrics.Counter("platform_failures").Inc(1)
 			p.config.Deliver(coordination.PlatformFailed{})
 		}
@@ -291,7 +292,7 @@
 	}
 	machines, err := p.config.Platform.Machines(p.ctx)
 	if err != nil {
-		p.config.Log.WithError(err).Debug("no machine list")
+		p.config.Log.WithError(err).Debug("reading the machine list from the platform failed")
 		return
 	}
 	p.config.Deliver(coordination.MachineList{Machines: machines})
--- a/internal/pipenet/pipenet.go
+++ b/internal/pipenet/pipenet.go
@@ -1,5 +1,5 @@
-// Package pipenet connects listeners and dialers in memory, so that whole nodes run
-// on the virtual clock of a test.
+// Package pipenet provides an in-memory network of listeners and dialers, so that tests can
+// run whole nodes on a virtual clock.
 package pipenet
 
 import (
@@ -10,45 +10,45 @@
 	"github.com/go-faster/errors"
 )
 
-// Network is a network of its own.
+// Network is an in-memory network, separate from all others.
 type Network struct {
 	mutex     sync.Mutex
 	listeners map[string]*pipeListener
-	// open are the connections, which Silence ends without a word.
+	// openConns holds the ends of all open connections, for Silence.
 	openConns map[*pipeConn]bool
 }
 
-// New returns a network without listeners.
+// New returns a Network without listeners.
 func New() *Network {
 	return &Network{listeners: map[string]*pipeListener{}, openConns: map[*pipeConn]bool{}}
 }
 
-// Listen opens an address.
+// Listen returns a listener at the address. It fails if the address is in use.
 func (n *Network) Listen(_, address string) (net.Listener, error) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.listeners[address] != nil {
-		return nil, errors.Errorf("%s is taken", address)
+		return nil, errors.Errorf("address %s is already in use", address)
 	}
 	listener := &pipeListener{network: n, address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 	n.listeners[address] = listener
 	return listener, nil
 }
 
-// Dial connects to an address. It fails at once where nobody listens.
+// Dial connects to an address. It fails immediately if there is no listener.
 func (n *Network) Dial(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mutex.Lock()
 	listener := n.listeners[address]
 	n.mutex.Unlock()
 	if listener == nil {
-		return nil, errors.Errorf("nobody listens on %s", address)
+		return nil, errors.Errorf("no listener at %s", address)
 	}
 	client, server := n.pipe()
 	select {
 	case listener.conns <- server:
 		return client, nil
 	case <-listener.closed:
-		return nil, errors.Errorf("%s has closed", address)
+		return nil, errors.Errorf("the listener at %s has been closed", address)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -88,8 +88,8 @@
 func (pipeAddress) Network() string  { return "pipe" }
 func (a pipeAddress) String() string { return string(a) }
 
-// Close ends the listener at the address, if there is one: connections to it
-// fail from now on.
+// Close closes the listener at the address, if there is one. Dialing the address fails
+// from then on; open connections remain.
 func (n *Network) Close(address string) {
 	n.mutex.Lock()
 	listener := n.listeners[address]
--- a/internal/pipenet/silence.go
+++ b/internal/pipenet/silence.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Silence makes all open connections silent for good, without a reset: what is written is
-// lost, and nothing comes. New connections work.
+// Silence makes all open connections silent permanently, without a reset: written data is
+// lost, and no data arrives. New connections work.
 func (n *Network) Silence() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -31,7 +31,7 @@
 	return tracked
 }
 
-// pipeConn is one end of a connection that may fall silent.
+// pipeConn is one end of a connection that can become silent; see Silence.
 type pipeConn struct {
 	net.Conn
 	network *Network
@@ -41,12 +41,13 @@
 
 	mutex    sync.Mutex
 	deadline time.Time
-	// moved is closed and replaced whenever the deadline for reading moves.
+	// deadlineChanged is closed and replaced whenever the read deadline is set.
 	deadlineChanged chan struct{}
 }
 
-// fallSilent ends the pipe below, so that reads and writes under way return and go on in
-// silence.
+// silence marks the connection as silent and closes the underlying pipe, so that pending
+// reads and writes return from the pipe and continue as on a silent connection. The caller
+// holds the network's mutex.
 func (c *pipeConn) silence() {
 	close(c.silent)
 	_ = c.Conn.Close()
@@ -73,7 +74,7 @@
 	return 0, c.awaitEnd()
 }
 
-// awaitEnd waits until the silent connection is closed or its deadline has passed.
+// awaitEnd waits until the silent connection is closed or its read deadline has passed.
 func (c *pipeConn) awaitEnd() error {
 	for {
 		c.mutex.Lock()
@@ -132,7 +133,7 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// SetWriteDeadline implements net.Conn. Writes to a silent connection don't wait.
+// SetWriteDeadline implements net.Conn. Writes to a silent connection never block.
 func (c *pipeConn) SetWriteDeadline(deadline time.Time) error {
 	if c.isSilent() {
 		return nil
@@ -140,7 +141,7 @@
 	return c.Conn.SetWriteDeadline(deadline)
 }
 
-// Close implements net.Conn. The other end of a silent connection isn't told.
+// Close implements net.Conn. The other end of a silent connection doesn't notice it.
 func (c *pipeConn) Close() error {
 	c.once.Do(func() {
 		close(c.closed)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,7 +1,9 @@
-// Package router is the role that takes callers' requests and finds a back end
-// for each. Core joins the choice of a back end, the limits and the control
-// plane; it is a state machine without I/O, run alike by the daemon and the
-// simulation.
+// Package router implements the role of the node that accepts callers' requests
+// and chooses a back end for each.
+//
+// Core combines routing, the limits on tenants and retries, and the control plane.
+// It is a state machine without I/O: callers pass in the time. The daemon and the
+// simulation run the same code.
 package router
 
 import (
@@ -18,31 +20,31 @@
 	"github.com/harriernotch/harriernotch/internal/routing"
 )
 
-// Config sets up a Core.
+// Config configures a Core.
 type Config struct {
-	// Identity is the node.
+	// Identity identifies the node.
 	Identity coordination.Identity
-	// Coordination tunes the control plane.
+	// Coordination configures the control plane.
 	Coordination coordination.Config
-	// Policy is the order in which back ends are tried.
+	// Policy determines the order in which back ends are tried.
 	Policy routing.Policy
 	// MaxAttempts bounds the attempts of one request. Default 8.
 	MaxAttempts int
-	// RetryRatio is the number of further attempts that a request earns on
-	// average; RetryCapacity is how many may be saved up. Defaults 0.5 and 50.
+	// RetryRatio is the number of retries that each request adds to the retry
+	// budget; RetryCapacity bounds the budget. Defaults 0.5 and 50.
 	RetryRatio    float64
 	RetryCapacity float64
-	// RetryUnknown also retries requests that may have run; only checks of the
-	// checkers set it.
+	// RetryUnknown also retries requests that may have run. It is set only to verify
+	// that the checkers detect repeated runs.
 	RetryUnknown bool
-	// IgnoreLeaving sends work to members that are leaving; only checks of the
-	// checkers set it.
+	// IgnoreLeaving treats members whose records say that they are leaving as alive.
+	// It is set only to verify that the checkers detect this.
 	IgnoreLeaving bool
-	// Random is used by the random policies alone.
+	// Random is used only by the random policies.
 	Random routing.RandomSource
 }
 
-// DefaultConfig returns the defaults for the node.
+// DefaultConfig returns the default configuration of the node.
 func DefaultConfig(identity coordination.Identity) Config {
 	return Config{
 		Identity:      identity,
@@ -53,11 +55,11 @@
 	}
 }
 
-// sharePeriod is the time between two counts of the routers that share the
-// tenants' limits.
+// routerCountPeriod is the time between two counts of the live routers, which divide
+// the tenants' limits among them.
 const routerCountPeriod = time.Second
 
-// Request is what the core needs to know of a caller's request.
+// Request holds what the core needs to know about a caller's request.
 type Request struct {
 	// ID names the request in logs.
 	ID string
@@ -65,63 +67,66 @@
 	Tenant string
 	// Pool is the pool's name.
 	Pool string
-	// Priority is the request's class.
+	// Priority is the request's priority class.
 	Priority admission.Priority
-	// Deadline is when the caller stops waiting.
+	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
-	// ChatKey spreads chats over the pool.
+	// ChatKey determines the rendezvous order of the back ends, so it distributes
+	// chats over the pool.
 	ChatKey string
 	// Token is the caller's chat token, or nil.
 	Token *routing.ChatToken
-	// Key is the idempotency key of an unrepeatable request, or "".
+	// Key is the idempotency key of a non-repeatable request, or "".
 	Key string
-	// KeyIssued is the key's time of issue.
+	// KeyIssued is when the key was issued.
 	KeyIssued time.Time
-	// KeyDigest is a hash of the request.
+	// KeyDigest is a hash of the request's path and body.
 	KeyDigest uint64
 }
 
-// Exchange is one request on its way. Next drives it.
+// Exchange is the state of one request from Begin to its final answer. Each attempt
+// without a valid answer of the back end is reported with Refused, NotConnected or
+// ConnectionLost.
 type Exchange struct {
 	request Request
 	route   *routing.Route
 	target  string
 }
 
-// Attempts returns how many attempts were made.
+// Attempts returns the number of attempts so far.
 func (e *Exchange) Attempts() int { return e.route.Attempts() }
 
-// Decision is what to do next with a request: send it, or give up.
+// Decision says what to do next with a request: send it, or give up.
 type Decision struct {
 	// Send is set when the request is to be sent.
 	Send *Send
-	// GiveUp is set when the caller is to be answered.
+	// GiveUp is set when the caller is to be answered with this error.
 	GiveUp *failure.Error
 }
 
-// Send says where a request goes.
+// Send says where to send a request.
 type Send struct {
 	// BackEnd is the target.
 	BackEnd string
-	// Address is its agent's.
+	// Address is the address of the target's agent.
 	Address string
-	// Head goes with the request.
+	// Head is sent with the request.
 	Head hop.Head
 }
 
-// Core decides for one router. It is not safe for concurrent use.
+// Core makes the decisions of one router. It is not safe for concurrent use.
 type Core struct {
 	config  Config
 	node    *coordination.Node
 	budget  *limits.RetryBudget
 	tenants *limits.TenantLimiter
-	// sharedAt is when the shares of the limits were last reckoned.
+	// routersCountedAt is when the live routers were last counted.
 	routersCountedAt time.Time
-	// draining is set once the router is about to stop.
+	// draining is set once Drain has been called.
 	draining bool
 }
 
-// New returns the core of a router that starts at the time.
+// New returns the core of a router that starts at now.
 func New(config Config, open coordination.Opener, acceptor *bundle.Acceptor, now time.Time) *Core {
 	return &Core{
 		config:  config,
@@ -131,10 +136,10 @@
 	}
 }
 
-// Node returns the control plane, to be read only.
+// Node returns the control plane. Callers may only read it.
 func (c *Core) Node() *coordination.Node { return c.node }
 
-// Control passes an event to the control plane.
+// Control processes an event of the control plane.
 func (c *Core) Control(now time.Time, event coordination.Event) []coordination.Action {
 	actions := c.node.Step(now, event)
 	for _, action := range actions {
@@ -145,7 +150,8 @@
 	return actions
 }
 
-// Tick lets time-based decisions take place. It comes once a tick period.
+// Tick triggers decisions that depend on the passing of time. It must be called once
+// per tick period.
 func (c *Core) Tick(now time.Time) []coordination.Action {
 	if now.Sub(c.routersCountedAt) >= routerCountPeriod {
 		c.routersCountedAt = now
@@ -154,13 +160,14 @@
 	return c.Control(now, coordination.Tick{})
 }
 
-// Drain fails readiness and tells the peers that the router is leaving.
+// Drain makes the router not ready and announces to the peers that it is leaving.
 func (c *Core) Drain(now time.Time) []coordination.Action {
 	c.draining = true
 	return c.Control(now, coordination.LocalState{State: membership.StateLeaving})
 }
 
-// Ready tells whether the balancer should send requests.
+// Ready reports whether the load balancer in front of the routers should send
+// requests to this one.
 func (c *Core) Ready(now time.Time) bool { return !c.draining && c.node.Ready(now) }
 
 func (c *Core) adopt(now time.Time, adopted *bundle.Bundle) {
@@ -171,7 +178,7 @@
 	c.tenants.Configure(now, tenantLimits)
 }
 
-// Begin takes a new request.
+// Begin processes a new request and returns its exchange and the first decision.
 func (c *Core) Begin(now time.Time, request Request) (*Exchange, Decision) {
 	exchange := &Exchange{request: request, route: &routing.Route{}}
 	if err := c.admit(now, request); err != nil {
@@ -195,7 +202,7 @@
 }
 
 func (c *Core) admit(now time.Time, request Request) *failure.Error {
-	// A draining router still serves what the balancer sends it.
+	// A draining router still serves the requests that the load balancer sends it.
 	if !c.node.Ready(now) {
 		return failure.New(failure.NotReady, "this router takes no requests now; ask another")
 	}
@@ -212,9 +219,8 @@
 	return nil
 }
 
-// next gives the next attempt, or the final answer. It answers at once when the
-// deadline has passed, the attempts or the retry budget are spent, or no back
-// end is left.
+// next returns the next attempt, or the final answer if the deadline has passed, no
+// back end is left, or, for a retry, the attempts or the retry budget are used up.
 func (c *Core) next(now time.Time, exchange *Exchange, isRetry bool) Decision {
 	if !now.Before(exchange.request.Deadline) {
 		return Decision{GiveUp: failure.New(failure.DeadlineUnmeetable, "the deadline passed before a back end took the request")}
@@ -229,7 +235,7 @@
 	exchange.target = attempt.BackEnd
 	_, backEnd := c.node.Bundle().Content.PoolOf(attempt.BackEnd)
 	if backEnd == nil {
-		// A newer bundle dropped the back end while the request was on its way.
+		// A newer bundle has removed the back end since the exchange began.
 		return c.next(now, exchange, true)
 	}
 	return Decision{Send: &Send{
@@ -261,12 +267,17 @@
 	return head
 }
 
-// isLast tells whether no further attempt would follow a refusal.
+// isLastAttempt reports whether no further attempt would follow a refusal now, because
+// the route, the attempts or the retry budget are used up. It doesn't consider that a
+// keyed request has only one target, its owner; the wait of a keyed request doesn't
+// depend on the result.
 func (c *Core) isLastAttempt(exchange *Exchange) bool {
 	return exchange.route.IsExhausted() || exchange.route.Attempts() >= c.config.MaxAttempts || !c.budget.CanSpend()
 }
 
-// Refused takes an agent's "not run" and returns what to do next.
+// Refused records that the target's agent refused the request, and returns what to do
+// next. Another attempt, at the next target of the route, follows only if the refusal's
+// kind says that the request did not run and that a repeat may succeed.
 func (c *Core) Refused(now time.Time, exchange *Exchange, reply hop.Reply) Decision {
 	c.ApplyPiggyback(now, reply)
 	kind, known := reply.FailureKind()
@@ -288,7 +299,8 @@
 	return c.next(now, exchange, true)
 }
 
-// finalMessage explains the refusals that no other back end can mend.
+// finalMessage returns the message to the caller for a refusal that isn't retried at
+// another back end.
 func finalMessage(kind failure.Kind) string {
 	switch kind {
 	case failure.OutcomeUnknown:
@@ -304,15 +316,16 @@
 	}
 }
 
-// NotSent notes that the target could not be reached, so that nothing was sent,
-// and returns what to do next.
+// NotConnected records that no connection to the target could be made, so nothing was
+// sent, and returns what to do next.
 func (c *Core) NotConnected(now time.Time, exchange *Exchange) Decision {
 	c.node.Step(now, coordination.NodeUnreachable{ID: exchange.target})
 	return c.next(now, exchange, true)
 }
 
-// Lost notes that the target broke off before its answer began and returns the
-// caller's final answer: the request may have run, so it is never sent again.
+// ConnectionLost records that the request was sent, at least in part, and got no valid
+// answer. It returns the caller's final answer: the request may have run, so it isn't sent
+// again, unless RetryUnknown is set.
 func (c *Core) ConnectionLost(now time.Time, exchange *Exchange) Decision {
 	c.node.Step(now, coordination.NodeUnreachable{ID: exchange.target})
 	if c.config.RetryUnknown {
@@ -321,7 +334,8 @@
 	return Decision{GiveUp: failure.New(failure.BackendFailed, "the back end broke off before it answered; the request may have run")}
 }
 
-// Heard takes the news that came with an answer.
+// ApplyPiggyback passes the control information that arrived with an answer to the
+// control plane.
 func (c *Core) ApplyPiggyback(now time.Time, reply hop.Reply) {
 	c.node.Step(now, coordination.PiggybackedRecords{
 		Records:    reply.Piggyback.Records,
@@ -330,7 +344,7 @@
 	})
 }
 
-// Token returns the chat token for an answer from the exchange's target.
+// Token returns the chat token for an answer of the exchange's target.
 func (c *Core) Token(now time.Time, exchange *Exchange, chat string, incarnation membership.Incarnation) routing.ChatToken {
 	return routing.ChatToken{
 		Chat:        chat,
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -18,7 +18,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// newRouter returns a ready router before a pool of three engines.
+// newRouter returns a ready router with a pool of three engines.
 func newRouter(t *testing.T, change func(*Config)) *Core {
 	t.Helper()
 	key := ed25519.NewKeyFromSeed([]byte(strings.Repeat("k", ed25519.SeedSize)))
@@ -82,7 +82,7 @@
 	exchange, _ := noBudget.Begin(start, request("free"))
 	decision := noBudget.Refused(start, exchange, refusal(failure.OverBound))
 	is.Equal(decision.GiveUp.Kind, failure.OverBound)
-	is.Equal(decision.GiveUp.Wait(), 700*time.Millisecond) // when to come back
+	is.Equal(decision.GiveUp.Wait(), 700*time.Millisecond) // the wait that the refusal stated
 	late := newRouter(t, nil)
 	exchange, _ = late.Begin(start, request("free"))
 	is.Equal(late.Refused(start.Add(2*time.Minute), exchange, refusal(failure.OverBound)).GiveUp.Kind, failure.DeadlineUnmeetable)
@@ -99,7 +99,7 @@
 	is.Equal(decision.GiveUp.Kind, failure.RateLimited)
 	is.Equal(decision.GiveUp.Wait(), 100*time.Millisecond)
 	_, decision = core.Begin(start, request("free"))
-	is.True(decision.Send != nil) // another tenant isn't touched
+	is.True(decision.Send != nil) // another tenant isn't affected
 }
 
 func TestLeavingBackEndGetsNoNewRequests(t *testing.T) {
@@ -120,10 +120,11 @@
 	core.Drain(start)
 	is.True(!core.Ready(start))
 	_, decision := core.Begin(start, request("free"))
-	is.True(decision.Send != nil) // until the balancer has noticed
+	is.True(decision.Send != nil) // the load balancer may not know yet that it isn't ready
 }
 
-// TestLastAttemptIsTold: an agent hears when no further attempt would follow.
+// TestHeadMarksLastAttempt checks that Head.LastAttempt is set if the retry budget or the
+// maximum number of attempts allows no further attempt, and not set otherwise.
 func TestHeadMarksLastAttempt(t *testing.T) {
 	is := is.New(t)
 	_, retriable := newRouter(t, nil).Begin(start, request("free"))
--- a/internal/router/routerhttp/event.go
+++ b/internal/router/routerhttp/event.go
@@ -8,8 +8,8 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// writeBrokenEvent tells the reader of a stream that it ends early. Errors are
-// of no interest: the connection is cut next.
+// writeErrorEvent sends an event that says that the stream is incomplete. Write errors
+// are ignored, because the connection is aborted next anyway.
 func writeErrorEvent(w http.ResponseWriter) {
 	body := failure.BodyOf(failure.New(failure.StreamBroken, "the answer broke off; what was received is not whole"))
 	raw, err := json.Marshal(body)
--- a/internal/router/routerhttp/request.go
+++ b/internal/router/routerhttp/request.go
@@ -28,36 +28,36 @@
 	HeaderTimeout = "Harriernotch-Timeout"
 	// HeaderRepeatable is "yes" or "no"; the default depends on the pool.
 	HeaderRepeatable = "Harriernotch-Repeatable"
-	// HeaderIdempotencyKey is a UUID of version 7 that names an unrepeatable
-	// request. The UUID's time of issue is part of its meaning.
+	// HeaderIdempotencyKey is a UUID of version 7 that identifies a non-repeatable
+	// request. The time in the UUID is used as the key's time of issue.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderChatToken returns the token of the chat's last answer.
+	// HeaderChatToken is the token from the chat's last answer. Answers set it too.
 	HeaderChatToken = "Harriernotch-Chat-Token"
 )
 
-// Headers that callers get.
+// Headers of answers to callers.
 const (
-	// HeaderRequestID names the request in the logs of all nodes.
+	// HeaderRequestID identifies the request in the logs of all nodes.
 	HeaderRequestID = "Harriernotch-Request-Id"
-	// HeaderBackEnd names the back end that answered.
+	// HeaderBackEnd is the ID of the back end that answered.
 	HeaderBackEnd = "Harriernotch-Back-End"
-	// HeaderAttempts is the number of back ends that were asked.
+	// HeaderAttempts is the number of attempts made.
 	HeaderAttempts = "Harriernotch-Attempts"
 )
 
-// userRole is the role of the caller's messages in a chat.
+// userRole is the role of the user's messages in a chat.
 const userRole = "user"
 
-// parsed is a caller's request, read and checked.
+// callerRequest is a caller's request after reading and validation.
 type callerRequest struct {
 	router.Request
 	body   []byte
 	isChat bool
-	// targets are the objectives in force when the request came.
+	// targets are the objectives in force when the request arrived.
 	targets slo.Targets
 }
 
-// chatHead is the part of a chat request that routing needs.
+// chatHead is the part of a chat request's body that routing needs.
 type chatHead struct {
 	Model    string `json:"model"`
 	Messages []struct {
@@ -66,7 +66,7 @@
 	} `json:"messages"`
 }
 
-// authenticate returns the tenant of the bearer key.
+// authenticate returns the tenant whose key the Authorization header carries.
 func authenticate(content *bundle.Content, header http.Header) (*bundle.Tenant, error) {
 	key, found := strings.CutPrefix(header.Get("Authorization"), "Bearer ")
 	if !found || key == "" {
@@ -79,8 +79,8 @@
 	return tenant, nil
 }
 
-// readBody reads the whole body: a refused request is sent to another back end,
-// and its model stands in the body.
+// readBody reads the whole body. It must be complete before routing because a refused
+// request is sent again to another back end, and because a chat's model is in the body.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -93,7 +93,7 @@
 	return body, nil
 }
 
-// parseHeaders fills what the headers say about any request.
+// parseHeaders sets the fields that are read from the headers of every request.
 func (p *callerRequest) parseHeaders(now time.Time, header http.Header, limits TimeoutLimits) error {
 	var err error
 	if p.Priority, err = parsePriority(header.Get(HeaderPriority)); err != nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// TimeoutLimits bound the callers' deadlines.
+// TimeoutLimits holds the default and the maximum of the timeouts that callers set.
 type TimeoutLimits struct {
 	Default time.Duration
 	Max     time.Duration
@@ -135,9 +135,8 @@
 	return timeout, nil
 }
 
-// parseKey takes the idempotency key. unrepeatable is the pool's default, which
-// the caller's header overrides; a repeatable request needs no key and its key
-// is ignored.
+// parseKey reads the idempotency key. unrepeatable is the default for the request,
+// which HeaderRepeatable overrides. The key of a repeatable request is ignored.
 func (p *callerRequest) parseKey(header http.Header, unrepeatable bool, path string) error {
 	switch header.Get(HeaderRepeatable) {
 	case "":
@@ -162,7 +161,8 @@
 	return nil
 }
 
-// issueTime returns the Unix milliseconds in the first 48 bits (RFC 9562).
+// issueTime returns the time in the UUID: Unix milliseconds in its first 48 bits
+// (RFC 9562).
 func issueTime(key uuid.UUID) time.Time {
 	var millis int64
 	for _, octet := range key[:6] {
@@ -178,7 +178,7 @@
 	return hash.Sum64()
 }
 
-// parseChat fills what a chat's body and token say.
+// parseChat sets the fields that are read from a chat's body and token.
 func (p *callerRequest) parseChat(content *bundle.Content, header http.Header, sealer *routing.TokenSealer) error {
 	var head chatHead
 	if err := json.Unmarshal(p.body, &head); err != nil {
@@ -208,8 +208,9 @@
 	return nil
 }
 
-// key names a chat by its opening: the messages up to the first of the user.
-// They are the same in every turn, so a chat keeps its key without a token.
+// key returns the chat's key, a hash of the tenant, the model and the messages up to
+// the first one of the user. These are the same in every turn, so a chat has the same
+// key in every turn even without a token.
 func (h chatHead) key(tenant string) string {
 	hash := xxhash.New()
 	_, _ = hash.WriteString(tenant + "\n" + h.Model + "\n")
--- a/internal/router/routerhttp/request_test.go
+++ b/internal/router/routerhttp/request_test.go
@@ -82,13 +82,13 @@
 		now := time.Unix(1_800_000_000, 0)
 		p := &callerRequest{body: []byte(body)}
 		if err := p.parseHeaders(now, header, limits); err == nil && (!p.Deadline.After(now) || p.Deadline.Sub(now) > limits.Max) {
-			t.Fatal("a deadline out of range was taken")
+			t.Fatal("a deadline out of range was accepted")
 		}
 		if err := p.parseChat(parsedContent, header, sealer); err == nil && p.Pool != "model" {
-			t.Fatal("a chat without a pool was taken")
+			t.Fatal("a chat without a pool was accepted")
 		}
 		if err := p.parseKey(header, true, "/p/"); err == nil && key != "" && repeatable != "yes" && p.Key == "" {
-			t.Fatal("a key was lost")
+			t.Fatal("a valid key was ignored")
 		}
 	})
 }
--- a/internal/router/routerhttp/route.go
+++ b/internal/router/routerhttp/route.go
@@ -15,12 +15,12 @@
 	"github.com/harriernotch/harriernotch/internal/slo"
 )
 
-// maxRefusalBody bounds what is read of a refusal before its connection is
-// given back, in bytes.
+// maxRefusalBody bounds how much of a refusal's body is read before it is closed, in
+// bytes.
 const maxRefusalBody = 4 << 10
 
-// route sends the request where the core says until a back end takes it or the
-// core gives up.
+// route sends the request to the targets that the core chooses, until a back end
+// answers it, the core gives up, or the caller has left.
 func (s *Server) route(w http.ResponseWriter, r *http.Request, p *callerRequest) {
 	labels := slo.Labels{Tenant: p.Tenant, Pool: p.Pool, Priority: uint8(p.Priority)}
 	watch := s.config.Objectives.Begin(time.Now(), labels, p.targets)
@@ -34,7 +34,8 @@
 		}
 		reply, err := hop.ParseReply(response.Header)
 		if err != nil {
-			// Whoever answered isn't an agent of this version: nothing is known.
+			// The answer isn't from an agent of this version, so the request may
+			// have run.
 			_ = response.Body.Close()
 			decision = s.sendFailed(r, p, exchange, decision.Send, err)
 			continue
@@ -63,8 +64,8 @@
 	return step(time.Now())
 }
 
-// send makes one attempt. An answer that hasn't begun by the deadline is given
-// up; one that has begun may go on.
+// send makes one attempt. The attempt is cancelled if its answer hasn't begun by the
+// deadline; an answer that has begun may continue after it.
 func (s *Server) send(r *http.Request, p *callerRequest, target *router.Send) (*http.Response, error) {
 	ctx, cancel := context.WithCancel(r.Context())
 	expired := time.AfterFunc(time.Until(p.Deadline), cancel)
@@ -91,7 +92,7 @@
 	return response, nil
 }
 
-// cancellingBody ends an attempt's context with its answer.
+// cancellingBody cancels an attempt's context when the body of its answer is closed.
 type cancellingBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
@@ -103,7 +104,8 @@
 	return b.ReadCloser.Close()
 }
 
-// sendFailed asks the core what to do after an attempt without an answer.
+// sendFailed reports an attempt without a valid answer to the core and returns what to
+// do next.
 func (s *Server) sendFailed(r *http.Request, p *callerRequest, exchange *router.Exchange, target *router.Send, cause error) router.Decision {
 	if r.Context().Err() != nil {
 		return router.Decision{GiveUp: failure.Wrap(failure.CallerGone, cause, "the caller left")}
@@ -120,16 +122,16 @@
 	})
 }
 
-// discard reads the little that a refusal holds, so that its connection can be
-// used again.
+// discard reads the short body of a refusal, so that its connection can be reused, and
+// closes it.
 func discard(response *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxRefusalBody))
 	_ = response.Body.Close()
 }
 
-// passOn copies the back end's answer to the caller. Once it has begun, a break
-// is made visible by cutting the connection: a stream first gets an event that
-// says so.
+// passOn copies the back end's answer to the caller. If the answer turns out to be
+// incomplete, the connection is aborted so that the caller notices; before that, a
+// stream gets an event that says so.
 func (s *Server) passOn(w http.ResponseWriter, r *http.Request, p *callerRequest, exchange *router.Exchange, target *router.Send, response *http.Response, reply hop.Reply, watch *slo.Watch) {
 	defer response.Body.Close()
 	token := ""
@@ -155,7 +157,7 @@
 	watch.Whole()
 }
 
-// copyOwnHeaders passes on the few headers of an agent that callers see.
+// copyOwnHeaders copies those of an agent's own headers that callers get.
 func copyOwnHeaders(to, from http.Header) {
 	for _, name := range []string{hop.HeaderReplayed, failure.HeaderKind, failure.HeaderRan} {
 		if value := from.Get(name); value != "" {
@@ -164,7 +166,8 @@
 	}
 }
 
-// broken ends an answer that can't be completed. It doesn't return.
+// abortAnswer aborts the connection to the caller because the answer can't be
+// completed. It panics with http.ErrAbortHandler and never returns.
 func (s *Server) abortAnswer(w http.ResponseWriter, r *http.Request, p *callerRequest, target *router.Send, stream bool, cause error, watch *slo.Watch) {
 	if r.Context().Err() != nil {
 		watch.Failed(failure.CallerGone)
@@ -172,7 +175,7 @@
 	}
 	watch.Failed(failure.StreamBroken)
 	s.config.Metrics.Tagged(map[string]string{"kind": failure.StreamBroken.String()}).Counter("failures").Inc(1)
-	s.config.Log.WithFields(logrus.Fields{"request": p.ID, "back_end": target.BackEnd}).WithError(cause).Warn("answer broke off")
+	s.config.Log.WithFields(logrus.Fields{"request": p.ID, "back_end": target.BackEnd}).WithError(cause).Warn("answer to the caller aborted: it is incomplete")
 	if stream {
 		writeErrorEvent(w)
 	}
--- a/internal/router/routerhttp/server.go
+++ b/internal/router/routerhttp/server.go
@@ -1,5 +1,5 @@
-// Package routerhttp is the shell of a router: it serves callers over HTTP,
-// asks the core where each request goes, and passes the answers on.
+// Package routerhttp does the I/O of a router: it serves callers over HTTP, sends each
+// request to the agents that the router's Core chooses, and passes the answers on.
 package routerhttp
 
 import (
@@ -25,28 +25,28 @@
 	"github.com/harriernotch/harriernotch/internal/slo"
 )
 
-// Config sets up a Server.
+// Config configures a Server.
 type Config struct {
-	// Core decides.
+	// Core decides where each request is sent.
 	Core *router.Core
 	// Credential proves membership of the cluster.
 	Credential hop.Credential
-	// Sealer makes and opens chat tokens.
+	// Sealer seals and opens chat tokens.
 	Sealer *routing.TokenSealer
-	// Transport reaches agents; it must come from hop.NewTransport.
+	// Transport sends requests to agents. It must come from hop.NewTransport.
 	Transport http.RoundTripper
-	// MaxBodyBytes bounds a caller's body.
+	// MaxBodyBytes bounds the body of a caller's request.
 	MaxBodyBytes int64
 	// Timeouts bound the callers' deadlines.
 	Timeouts TimeoutLimits
-	// Log and Metrics take what operators should know.
+	// Log and Metrics receive log entries and metrics.
 	Log     logrus.FieldLogger
 	Metrics tally.Scope
-	// Objectives collects what the burn report needs.
+	// Objectives records what the burn report of the service-level objectives needs.
 	Objectives *slo.Recorder
 }
 
-// Server is a router's listener for callers.
+// Server handles the requests at a router's listener for callers.
 type Server struct {
 	config  Config
 	routes  *httprouter.Router
@@ -60,7 +60,7 @@
 	requests tally.Counter
 }
 
-// New returns a server. SetPeering must follow before it serves.
+// New returns a server. SetPeering must be called before it serves.
 func New(config Config) *Server {
 	s := &Server{
 		config:   config,
@@ -78,17 +78,17 @@
 	return s
 }
 
-// SetPeering connects the control plane.
+// SetPeering sets the peering that executes control actions.
 func (s *Server) SetPeering(p *peering.Peering) { s.peering = p }
 
-// Deliver passes a control event to the core.
+// Deliver passes an event of the control plane to the core.
 func (s *Server) Deliver(event coordination.Event) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.perform(s.core.Control(time.Now(), event))
 }
 
-// Tick must be called once a tick period.
+// Tick passes a tick to the core. It must be called once per tick period.
 func (s *Server) Tick() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -101,22 +101,22 @@
 	}
 }
 
-// View calls read with the core, which it must not keep.
+// View calls read with the core. read must not retain it.
 func (s *Server) View(read func(*router.Core)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	read(s.core)
 }
 
-// Ready tells whether the router takes requests.
+// Ready reports whether the router is ready for requests.
 func (s *Server) Ready() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.core.Ready(time.Now())
 }
 
-// Drain fails readiness and tells the peers. Requests that still arrive are
-// served until the listener closes.
+// Drain makes the router not ready and announces to the peers that it is leaving.
+// Requests that still arrive are served until the listener closes.
 func (s *Server) Drain() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -129,7 +129,7 @@
 	s.routes.ServeHTTP(w, r)
 }
 
-// content returns the document in force.
+// content returns the content of the bundle in force.
 func (s *Server) content() (*bundle.Content, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -140,13 +140,13 @@
 	return current.Content, nil
 }
 
-// modelList is the chat API's list of models.
+// modelList is the chat API's answer to GET /v1/models.
 type modelList struct {
 	Object string       `json:"object"`
 	Data   []modelEntry `json:"data"`
 }
 
-// modelEntry is one model.
+// modelEntry is one model of a modelList.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -191,7 +191,7 @@
 	})
 }
 
-// serve reads a request, lets parse find its pool, and routes it.
+// serve reads a request, calls parse to determine its pool and key, and routes it.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, parse func(*callerRequest, *bundle.Content) error) {
 	p := &callerRequest{}
 	p.ID = uuid.NewString()
@@ -226,7 +226,7 @@
 	return parse(p, content)
 }
 
-// answerFailure sends a final answer.
+// answerFailure logs and counts a failed request and answers it with the error.
 func (s *Server) answerFailure(w http.ResponseWriter, p *callerRequest, err error) {
 	kind := failure.KindOf(err)
 	s.config.Metrics.Tagged(map[string]string{"kind": kind.String()}).Counter("failures").Inc(1)
@@ -236,7 +236,7 @@
 	failure.WriteHTTP(w, err)
 }
 
-// setAnswerHeaders tells the caller who answered.
+// setAnswerHeaders sets the headers that name the back end and the number of attempts.
 func setAnswerHeaders(header http.Header, exchange *router.Exchange, backEnd string) {
 	header.Set(HeaderBackEnd, backEnd)
 	header.Set(HeaderAttempts, strconv.Itoa(exchange.Attempts()))
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -9,7 +9,7 @@
 	"github.com/harriernotch/harriernotch/internal/routing"
 )
 
-// newsRecords is the number of records that ride on one request.
+// maxPiggybackedRecords bounds the membership records sent with one request.
 const maxPiggybackedRecords = 4
 
 func (c *Core) aliveRouters(now time.Time) int {
@@ -60,9 +60,10 @@
 	}
 }
 
-// unreachable lists the members that could not be reached a moment ago. A dead
-// member's last load would else hold down the bound at the others until its
-// silence is noticed.
+// unreachable returns the members to which a connection failed recently. Without this
+// information, agents would count a dead member towards the mean load, with at most its
+// last load, until it has been silent for the membership's SilentAfter. This can keep
+// their bound too low.
 func (c *Core) unreachable(now time.Time, poolName string) []string {
 	pool := c.node.Bundle().Content.Pool(poolName)
 	if pool == nil {
@@ -78,7 +79,8 @@
 	return ids
 }
 
-// news returns the pool's freshest loads.
+// piggyback returns the control information to send with a request for the pool, with
+// the pool's freshest records.
 func (c *Core) piggyback(now time.Time, poolName string) hop.Piggyback {
 	current := c.node.Bundle()
 	piggyback := hop.Piggyback{Number: current.Number, ContactAgeMillis: c.node.ContactAge(now).Milliseconds()}
