--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -12,7 +12,7 @@
 	"github.com/harriernotch/harriernotch/internal/settings"
 )
 
-func TestExamplesPassTheirChecks(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	for _, deployment := range []string{"swan-coast", "beridze"} {
 		t.Run(deployment, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/cli/bundle.go
+++ b/internal/cli/bundle.go
@@ -46,13 +46,13 @@
 }
 
 // publisher returns a publisher that trusts the flags' keys and own, if given.
-func (f *platformFlags) publisher(own ed25519.PrivateKey) (*objectstore.Publisher, error) {
+func (f *platformFlags) publisher(signingKey ed25519.PrivateKey) (*objectstore.Publisher, error) {
 	trusted, err := parsePublicKeys(f.trusted)
 	if err != nil {
 		return nil, err
 	}
-	if own != nil {
-		trusted = append(trusted, publicHalf(own))
+	if signingKey != nil {
+		trusted = append(trusted, publicKeyOf(signingKey))
 	}
 	if len(trusted) == 0 {
 		return nil, failure.New(failure.InvalidRequest, "--trusted: there is none; name the public key that `bundle init` printed")
@@ -88,7 +88,7 @@
 				return errors.Wrap(err, "write the example bundle")
 			}
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "wrote %s and %s\npublic key for trusted_keys: %s\n",
-				path, filepath.Join(directory, keyFile), publicText(public))
+				path, filepath.Join(directory, keyFile), encodePublicKey(public))
 			return err
 		},
 	}
@@ -102,7 +102,7 @@
 		Short: "Check a bundle document and name every problem with its remedy",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			content, _, err := readDocument(args[0])
+			content, _, err := readBundle(args[0])
 			if err != nil {
 				return err
 			}
@@ -113,7 +113,7 @@
 	}
 }
 
-func readDocument(path string) (*bundle.Content, []byte, error) {
+func readBundle(path string) (*bundle.Content, []byte, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "read the bundle document")
@@ -131,7 +131,7 @@
 		Short: "Sign a bundle document as the next version",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			_, source, err := readDocument(args[0])
+			_, source, err := readBundle(args[0])
 			if err != nil {
 				return err
 			}
@@ -274,7 +274,7 @@
 		Short: "Show how a document differs from the published bundle",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			_, source, err := readDocument(args[0])
+			_, source, err := readBundle(args[0])
 			if err != nil {
 				return err
 			}
--- a/internal/cli/bundle_test.go
+++ b/internal/cli/bundle_test.go
@@ -16,7 +16,7 @@
 )
 
 // tool runs the command line and returns what it printed.
-func tool(arguments ...string) (string, error) {
+func runTool(arguments ...string) (string, error) {
 	var output bytes.Buffer
 	command := NewToolCommand(nil)
 	command.SetOut(&output)
@@ -26,7 +26,7 @@
 	return output.String(), err
 }
 
-func TestOperatorsWayThroughABundle(t *testing.T) {
+func TestBundleCommandsEndToEnd(t *testing.T) {
 	is := is.New(t)
 	store := standin.NewPlatform()
 	server := httptest.NewServer(store.Handler())
@@ -35,48 +35,48 @@
 	file := filepath.Join(dir, bundleFile)
 	key := filepath.Join(dir, keyFile)
 
-	printed, err := tool("bundle", "init", "--dir", dir)
+	printed, err := runTool("bundle", "init", "--dir", dir)
 	is.NoErr(err)
 	public := regexp.MustCompile(`trusted_keys: (\S+)`).FindStringSubmatch(printed)[1]
-	_, err = tool("bundle", "init", "--dir", dir)
+	_, err = runTool("bundle", "init", "--dir", dir)
 	is.True(err != nil) // a key is never replaced
 
-	printed, err = tool("bundle", "check", file)
+	printed, err = runTool("bundle", "check", file)
 	is.NoErr(err)
 	is.True(strings.Contains(printed, "in order: 2 pools, 1 tenants, 1 models"))
-	printed, err = tool("bundle", "sign", file, "--key", key, "--platform", server.URL, "--note", "first")
+	printed, err = runTool("bundle", "sign", file, "--key", key, "--platform", server.URL, "--note", "first")
 	is.NoErr(err)
 	is.True(strings.Contains(printed, "signed number 1"))
-	_, err = tool("bundle", "publish", file+".signed", "--platform", server.URL, "--trusted", public)
+	_, err = runTool("bundle", "publish", file+".signed", "--platform", server.URL, "--trusted", public)
 	is.NoErr(err)
 
 	source, err := os.ReadFile(file)
 	is.NoErr(err)
 	changed := strings.Replace(string(source), "load_multiple = 1.25", "load_multiple = 1.5", 1)
 	is.NoErr(os.WriteFile(file, []byte(changed), publicFileMode))
-	printed, err = tool("bundle", "diff", file, "--platform", server.URL, "--trusted", public)
+	printed, err = runTool("bundle", "diff", file, "--platform", server.URL, "--trusted", public)
 	is.NoErr(err)
 	is.True(strings.Contains(printed, "-load_multiple = 1.25\n+load_multiple = 1.5\n"))
 
 	// Two operators sign number 2; the second to publish gets a conflict.
 	for _, name := range []string{"ours", "theirs"} {
-		_, err = tool("bundle", "sign", file, "--key", key, "--platform", server.URL, "--note", name, "--out", filepath.Join(dir, name))
+		_, err = runTool("bundle", "sign", file, "--key", key, "--platform", server.URL, "--note", name, "--out", filepath.Join(dir, name))
 		is.NoErr(err)
 	}
-	_, err = tool("bundle", "publish", filepath.Join(dir, "ours"), "--platform", server.URL, "--trusted", public)
+	_, err = runTool("bundle", "publish", filepath.Join(dir, "ours"), "--platform", server.URL, "--trusted", public)
 	is.NoErr(err)
-	_, err = tool("bundle", "publish", filepath.Join(dir, "theirs"), "--platform", server.URL, "--trusted", public)
+	_, err = runTool("bundle", "publish", filepath.Join(dir, "theirs"), "--platform", server.URL, "--trusted", public)
 	is.Equal(failure.KindOf(err), failure.Conflict)
 
-	printed, err = tool("bundle", "rollback", "--to", "1", "--key", key, "--platform", server.URL)
+	printed, err = runTool("bundle", "rollback", "--to", "1", "--key", key, "--platform", server.URL)
 	is.NoErr(err)
 	is.True(strings.Contains(printed, "published number 3 with the document of number 1"))
-	printed, err = tool("bundle", "status", "--platform", server.URL, "--trusted", public)
+	printed, err = runTool("bundle", "status", "--platform", server.URL, "--trusted", public)
 	is.NoErr(err)
 	is.True(strings.Contains(printed, `number 3`) && strings.Contains(printed, `note "rollback to number 1"`))
 }
 
-func TestMistakesOnTheCommandLineAreNamed(t *testing.T) {
+func TestInvalidArgumentsAreReported(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
 	if err := os.WriteFile(bad, []byte("format = 1\nnmae = 2\n"), publicFileMode); err != nil {
@@ -98,7 +98,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := tool(c.arguments...)
+			_, err := runTool(c.arguments...)
 			is.True(err != nil)
 			if !strings.Contains(err.Error(), c.want) {
 				t.Fatalf("got %v, want %s", err, c.want)
@@ -107,12 +107,12 @@
 	}
 }
 
-func TestSimulateExitsCleanOnlyWithoutAViolation(t *testing.T) {
+func TestSimulateSucceedsOnlyWithoutViolation(t *testing.T) {
 	is := is.New(t)
-	printed, err := tool("simulate", "--scenario", "steady", "--duration", "20s", "--warmup", "10s")
+	printed, err := runTool("simulate", "--scenario", "steady", "--duration", "20s", "--warmup", "10s")
 	is.NoErr(err)
 	is.True(strings.Contains(printed, "token-hash-bounded"))
-	printed, err = tool("simulate", "--scenario", "steady", "--duration", "60s", "--warmup", "10s", "--break", "bound")
+	printed, err = runTool("simulate", "--scenario", "steady", "--duration", "60s", "--warmup", "10s", "--break", "bound")
 	is.True(err != nil)
 	is.True(strings.Contains(printed, "load bound at"))
 	is.True(strings.Contains(printed, "last events:"))
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	daemon.TuneCollector()
+	daemon.TuneGC()
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	node, err := daemon.Start(s, daemon.Environment{Log: log})
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -31,12 +31,12 @@
 	defer log.Close()
 	// Libraries complain on the standard logger; standard output holds JSON alone.
 	stdlog.SetOutput(log.Entry().WriterLevel(logrus.DebugLevel))
-	daemon.BoundMemory(s.Gateway.MemoryMegabytes)
+	daemon.SetMemoryLimit(s.Gateway.MemoryMegabytes)
 	node, err := daemon.StartGateway(s, daemon.GatewayEnvironment{Adapter: adapter, Clock: clock.New(), Log: log})
 	if err != nil {
 		return err
 	}
-	awaitStop(ctx, path, node, signals, log)
+	waitForStop(ctx, path, node, signals, log)
 	drain, cancel := context.WithTimeout(context.Background(), node.DrainTimeout())
 	defer cancel()
 	node.Stop(drain)
@@ -44,7 +44,7 @@
 }
 
 // awaitStop returns when the gateway is to stop, and reloads until then.
-func awaitStop(ctx context.Context, path string, node *daemon.Gateway, signals <-chan os.Signal, log *eventlog.Log) {
+func waitForStop(ctx context.Context, path string, node *daemon.Gateway, signals <-chan os.Signal, log *eventlog.Log) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -61,8 +61,8 @@
 	return keys, nil
 }
 
-func publicText(key ed25519.PublicKey) string { return base64.StdEncoding.EncodeToString(key) }
+func encodePublicKey(key ed25519.PublicKey) string { return base64.StdEncoding.EncodeToString(key) }
 
-func publicHalf(key ed25519.PrivateKey) ed25519.PublicKey {
+func publicKeyOf(key ed25519.PrivateKey) ed25519.PublicKey {
 	return ed25519.PublicKey(key[ed25519.SeedSize:])
 }
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -82,7 +82,7 @@
 	if !ok {
 		return failure.New(failure.InvalidRequest, "--size: unknown; see --help for the list")
 	}
-	policies, err := chosenPolicies(flags.policy)
+	policies, err := selectPolicies(flags.policy)
 	if err != nil {
 		return err
 	}
@@ -107,10 +107,10 @@
 	if err := printResults(output, flags.output, results); err != nil {
 		return err
 	}
-	return verdict(results)
+	return checkResults(results)
 }
 
-func chosenPolicies(name string) ([]simulation.Policy, error) {
+func selectPolicies(name string) ([]simulation.Policy, error) {
 	if name == "all" {
 		return simulation.Policies(), nil
 	}
@@ -147,7 +147,7 @@
 }
 
 // verdict fails if a promise was broken.
-func verdict(results []simulation.Result) error {
+func checkResults(results []simulation.Result) error {
 	broken := 0
 	for _, result := range results {
 		if result.Broken() {
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -20,13 +20,13 @@
 
 // soakFlags are the command line of harriernotch soak.
 type soakFlags struct {
-	options soak.Options
-	minutes float64
-	runs    int
-	program string
-	older   string
-	folder  string
-	kinds   []string
+	options      soak.Options
+	minutes      float64
+	seeds        int
+	program      string
+	olderProgram string
+	directory    string
+	kinds        []string
 }
 
 func newSoakCommand(protocol wire.Protocol) *cobra.Command {
@@ -46,7 +46,7 @@
 	}
 	f := command.Flags()
 	f.Uint64Var(&flags.options.Seed, "seed", 1, "the first seed; the same one draws the same faults")
-	f.IntVar(&flags.runs, "seeds", 1, "how many seeds to run, one after the other")
+	f.IntVar(&flags.seeds, "seeds", 1, "how many seeds to run, one after the other")
 	f.Float64Var(&flags.minutes, "minutes", 1, "how long faults strike in each run")
 	f.IntVar(&flags.options.Gateways, "gateways", flags.options.Gateways, "gateways, a process each")
 	f.IntVar(&flags.options.BackEnds, "back-ends", flags.options.BackEnds, "back ends")
@@ -54,14 +54,14 @@
 	f.StringSliceVar(&flags.kinds, "kinds", nil, "draw these kinds of faults alone, such as "+string(soak.EvacuateZone)+" (default: all)")
 	f.StringSliceVar(&flags.options.Disable, "break", nil, "switch mechanisms of the gateways off; a violation must be found then")
 	f.StringVar(&flags.program, "program", "bin/harriernotchd", "the gateways' program")
-	f.StringVar(&flags.older, "older", "", "another build of the program, which runs by turns with it: an upgrade and its way back")
-	f.StringVar(&flags.folder, "folder", "", "where settings and logs are kept (default: a temporary folder, removed when nothing was broken)")
+	f.StringVar(&flags.olderProgram, "older", "", "another build of the program, which runs by turns with it: an upgrade and its way back")
+	f.StringVar(&flags.directory, "folder", "", "where settings and logs are kept (default: a temporary folder, removed when nothing was broken)")
 	return command
 }
 
 func (f soakFlags) check() error {
 	o := f.options
-	if o.Gateways < 1 || o.BackEnds < 2 || o.Callers < 1 || f.runs < 1 || !(f.minutes > 0) {
+	if o.Gateways < 1 || o.BackEnds < 2 || o.Callers < 1 || f.seeds < 1 || !(f.minutes > 0) {
 		return failure.New(failure.InvalidRequest, "gateways, callers, seeds and minutes must be above 0, and back ends at least 2")
 	}
 	for _, kind := range f.kinds {
@@ -79,12 +79,12 @@
 	for _, kind := range flags.kinds {
 		flags.options.Kinds = append(flags.options.Kinds, soak.Kind(kind))
 	}
-	if flags.older != "" {
-		flags.options.Kinds = withoutMoves(flags.options.Kinds)
+	if flags.olderProgram != "" {
+		flags.options.Kinds = withoutRollouts(flags.options.Kinds)
 	}
 	broken := 0
-	for range flags.runs {
-		result, err := soakOnce(ctx, output, protocol, flags)
+	for range flags.seeds {
+		result, err := runSoakSeed(ctx, output, protocol, flags)
 		if err != nil {
 			return err
 		}
@@ -94,14 +94,14 @@
 		flags.options.Seed++
 	}
 	if broken > 0 {
-		return failure.New(failure.Internal, fmt.Sprintf("%d of %d seeds broke a promise", broken, flags.runs))
+		return failure.New(failure.Internal, fmt.Sprintf("%d of %d seeds broke a promise", broken, flags.seeds))
 	}
 	return nil
 }
 
 // withoutMoves takes away the moves to other versions: an older build may know no setting for
 // them, and doesn't start with one that it doesn't know.
-func withoutMoves(kinds []soak.Kind) []soak.Kind {
+func withoutRollouts(kinds []soak.Kind) []soak.Kind {
 	if len(kinds) == 0 {
 		kinds = soak.Kinds()
 	}
@@ -109,8 +109,8 @@
 }
 
 // soakOnce plays one seed and prints what it found.
-func soakOnce(ctx context.Context, output io.Writer, protocol wire.Protocol, flags soakFlags) (soak.Result, error) {
-	folder := flags.folder
+func runSoakSeed(ctx context.Context, output io.Writer, protocol wire.Protocol, flags soakFlags) (soak.Result, error) {
+	folder := flags.directory
 	if folder == "" {
 		made, err := os.MkdirTemp("", "harriernotch-soak-")
 		if err != nil {
@@ -122,8 +122,8 @@
 	if err != nil {
 		return soak.Result{}, failure.Wrap(failure.InvalidRequest, err, "--program; build it with `go build -o bin/ ./cmd/...`")
 	}
-	if flags.older != "" {
-		if err := environment.UseOlder(flags.older); err != nil {
+	if flags.olderProgram != "" {
+		if err := environment.UseOlder(flags.olderProgram); err != nil {
 			return soak.Result{}, failure.Wrap(failure.InvalidRequest, err, "--older; build it in a work tree of its commit")
 		}
 	}
@@ -132,7 +132,7 @@
 	if err != nil {
 		return result, err
 	}
-	if len(result.Violations) == 0 && flags.folder == "" {
+	if len(result.Violations) == 0 && flags.directory == "" {
 		_ = os.RemoveAll(folder) // a leftover folder does no harm
 	}
 	return result, printSoak(output, result, folder)
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -68,8 +68,8 @@
 }
 
 // showStatus shows the status of a node of any role.
-func showStatus(output io.Writer, raw json.RawMessage, form string) error {
-	if form == outputJSON {
+func showStatus(output io.Writer, raw json.RawMessage, format string) error {
+	if format == outputJSON {
 		encoder := json.NewEncoder(output)
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(raw)
--- a/internal/cli/status_test.go
+++ b/internal/cli/status_test.go
@@ -13,7 +13,7 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-func TestStatusOfAGatewayIsATable(t *testing.T) {
+func TestGatewayStatusAsTableAndJSON(t *testing.T) {
 	is := is.New(t)
 	raw, err := json.Marshal(gateway.Status{
 		Role: gateway.RoleName, Ready: true, Version: 7, Gateways: 103, LoadAgeSeconds: 0.2,
@@ -33,7 +33,7 @@
 	is.Equal(again.Gateways, 103)
 }
 
-func TestStatusShowsARollout(t *testing.T) {
+func TestGatewayStatusShowsRollout(t *testing.T) {
 	is := is.New(t)
 	raw, err := json.Marshal(gateway.Status{
 		Role: gateway.RoleName, Era: 3,
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestStatusOfARouterIsATable(t *testing.T) {
+func TestRouterStatusAsTable(t *testing.T) {
 	is := is.New(t)
 	raw, err := json.Marshal(daemon.Status{Role: "router", Node: "r1", Bundle: 4})
 	is.NoErr(err)
@@ -64,7 +64,7 @@
 	is.True(strings.Contains(output.String(), "router r1"))
 }
 
-func TestUnknownOutputIsRefusedWithARemedy(t *testing.T) {
+func TestUnknownOutputFormatIsRefused(t *testing.T) {
 	is := is.New(t)
 	command := newStatusCommand()
 	command.SetArgs([]string{"--output", "xml"})
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -34,7 +34,7 @@
 
 func startBenchFleet(b *testing.B, protocol hop.Protocol, handler http.Handler) benchFleet {
 	b.Helper()
-	TuneCollector()
+	TuneGC()
 	backEnd := httptest.NewServer(handler)
 	b.Cleanup(backEnd.Close)
 	store := standin.NewPlatform()
@@ -132,7 +132,7 @@
 const benchWorkers = 16
 
 // runEach runs a case against the back end itself and through the two hops.
-func runEach(b *testing.B, handler http.Handler, run func(b *testing.B, url string)) {
+func runAllPaths(b *testing.B, handler http.Handler, run func(b *testing.B, url string)) {
 	b.Run("direct", func(b *testing.B) {
 		run(b, startBenchFleet(b, hop.HTTP1, handler).backEnd)
 	})
@@ -167,7 +167,7 @@
 			wait.Wait()
 		})
 	}
-	runEach(b, handler, run)
+	runAllPaths(b, handler, run)
 }
 
 // BenchmarkEvent measures streamed events, paced as an engine would, so that
@@ -205,5 +205,5 @@
 			})
 		}
 	}
-	runEach(b, handler, run)
+	runAllPaths(b, handler, run)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -67,7 +67,7 @@
 	peers     net.Listener
 	admin     net.Listener
 	servers   []*http.Server
-	serving   conc.WaitGroup
+	tasks     conc.WaitGroup
 	stopTicks context.CancelFunc
 }
 
@@ -194,7 +194,7 @@
 	n.serveOn(n.admin, n.adminHandler())
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stopTicks = cancel
-	n.serving.Go(func() { n.tick(ctx) })
+	n.tasks.Go(func() { n.tick(ctx) })
 }
 
 // readHeaderTimeout bounds how long a client may take to send its headers.
@@ -211,7 +211,7 @@
 		ErrorLog:          newServerLog(n.log),
 	}
 	n.servers = append(n.servers, server)
-	n.serving.Go(func() {
+	n.tasks.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			n.log.WithError(err).Error("a listener failed")
 		}
@@ -296,19 +296,19 @@
 	n.log.Info("draining")
 	n.role.Drain()
 	if n.callers != nil {
-		n.awaitBalancer(ctx)
+		n.waitDrainDelay(ctx)
 	}
 	n.shutdown(ctx)
 	n.stopTicks()
 	n.control.Close()
-	n.serving.Wait()
+	n.tasks.Wait()
 	_ = n.metrics.Close()
 	n.log.Info("stopped")
 }
 
 // awaitBalancer goes on serving until the balancer has seen the failed
 // readiness.
-func (n *Node) awaitBalancer(ctx context.Context) {
+func (n *Node) waitDrainDelay(ctx context.Context) {
 	timer := time.NewTimer(n.settings.DrainDelay.Std())
 	defer timer.Stop()
 	select {
@@ -335,6 +335,6 @@
 		_ = server.Close()
 	}
 	n.control.Close()
-	n.serving.Wait()
+	n.tasks.Wait()
 	_ = n.metrics.Close()
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -19,7 +19,7 @@
 	"github.com/harriernotch/harriernotch/internal/standin"
 )
 
-func TestChatIsAnsweredPlainAndStreamed(t *testing.T) {
+func TestPlainAndStreamedChatsReuseContext(t *testing.T) {
 	for _, protocol := range []hop.Protocol{hop.HTTP1, hop.HTTP2} {
 		for _, stream := range []bool{false, true} {
 			t.Run(fmt.Sprint(protocol, " stream ", stream), func(t *testing.T) {
@@ -43,16 +43,16 @@
 	}
 }
 
-func TestCallerThatLeavesFreesTheEngine(t *testing.T) {
+func TestCallerDisconnectFreesEngine(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.New(f.t)
 		ctx, cancel := context.WithCancel(f.t.Context())
 		var wait sync.WaitGroup
 		wait.Go(func() { _, _ = f.chat(chat{ctx: ctx, text: "long", stream: true, tokens: 10000}) })
-		f.settle(time.Second)
+		f.advance(time.Second)
 		is.Equal(f.load(), 1)
 		cancel()
-		f.settle(time.Second)
+		f.advance(time.Second)
 		is.Equal(f.load(), 0)
 		wait.Wait()
 	})
@@ -73,7 +73,7 @@
 	return total
 }
 
-func TestSlowCallerHoldsTheEngineBack(t *testing.T) {
+func TestSlowCallerAppliesBackpressureToEngine(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.New(f.t)
 		ctx, cancel := context.WithCancel(f.t.Context())
@@ -86,12 +86,12 @@
 		response, err := f.client.Do(request)
 		is.NoErr(err)
 		defer response.Body.Close()
-		f.settle(20 * time.Minute) // ten times what the stream would take
-		is.Equal(f.load(), 1)      // it still runs: nobody reads
+		f.advance(20 * time.Minute) // ten times what the stream would take
+		is.Equal(f.load(), 1)       // it still runs: nobody reads
 	})
 }
 
-func TestKilledAgentLeavesWholeAnswersOrClearErrors(t *testing.T) {
+func TestKilledAgentGivesCompleteAnswersOrClearErrors(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.New(f.t)
 		var mutex sync.Mutex
@@ -104,7 +104,7 @@
 				got, err := f.chat(chat{router: fmt.Sprint("router-", 1+i%2), text: text, stream: i%3 == 0, tokens: 30})
 				mutex.Lock()
 				defer mutex.Unlock()
-				counts[judge(got, err, text)]++
+				counts[classify(got, err, text)]++
 			})
 		}
 		time.Sleep(1500 * time.Millisecond)
@@ -119,7 +119,7 @@
 
 // judge sorts what a caller saw: a whole and own answer, a visible break, or an
 // error that says whether the request ran.
-func judge(got answer, err error, text string) string {
+func classify(got answer, err error, text string) string {
 	if err != nil {
 		return "unclear"
 	}
@@ -140,7 +140,7 @@
 	return "unclear"
 }
 
-func TestStoppedRouterAndAgentCutNothing(t *testing.T) {
+func TestStopOfRouterOrAgentCutsNoRequest(t *testing.T) {
 	for _, victim := range []string{"router-1", "engine-1"} {
 		t.Run(victim, func(t *testing.T) {
 			inFleet(t, hop.HTTP1, func(f *fleet) {
@@ -154,12 +154,12 @@
 						got, err := f.chat(chat{text: text, stream: true, tokens: 500})
 						mutex.Lock()
 						defer mutex.Unlock()
-						if judge(got, err, text) == "whole" {
+						if classify(got, err, text) == "whole" {
 							whole++
 						}
 					})
 				}
-				f.settle(time.Second)
+				f.advance(time.Second)
 				node := f.nodes[victim]
 				stopped := make(chan struct{})
 				go func() {
@@ -185,7 +185,7 @@
 // newKey returns a UUID of version 7 from the bubble's clock. uuid.NewV7 won't
 // do: it never goes back behind the latest time it has seen, and every bubble
 // begins at the same moment again.
-func newKey() string {
+func newIdempotencyKey() string {
 	var key uuid.UUID
 	millis := time.Now().UnixMilli()
 	for i := range 6 {
@@ -196,10 +196,10 @@
 	return key.String()
 }
 
-func TestUnrepeatableCallRunsOnceThroughTwoRouters(t *testing.T) {
+func TestUnrepeatableCallRunsOnceViaTwoRouters(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.New(f.t)
-		header := http.Header{"Idempotency-Key": {newKey()}}
+		header := http.Header{"Idempotency-Key": {newIdempotencyKey()}}
 		first, err := f.call(f.t.Context(), http.MethodPost, "router-1", "/loans/letters", "plan", header)
 		is.NoErr(err)
 		is.Equal(first.status, http.StatusOK)
@@ -217,13 +217,13 @@
 	})
 }
 
-func TestKeyedCallGoesOnWithoutItsCaller(t *testing.T) {
+func TestKeyedCallContinuesAfterCallerDisconnects(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.New(f.t)
 		for _, service := range f.services {
 			service.Delay = 5 * time.Second
 		}
-		header := http.Header{"Idempotency-Key": {newKey()}}
+		header := http.Header{"Idempotency-Key": {newIdempotencyKey()}}
 		ctx, cancel := context.WithTimeout(f.t.Context(), time.Second)
 		defer cancel()
 		_, err := f.call(ctx, http.MethodPost, "router-1", "/loans/letters", "plan", header)
@@ -231,7 +231,7 @@
 		early, err := f.call(f.t.Context(), http.MethodPost, "router-1", "/loans/letters", "plan", header)
 		is.NoErr(err)
 		is.Equal(early.header.Get(failure.HeaderKind), failure.KeyInProgress.String())
-		f.settle(10 * time.Second)
+		f.advance(10 * time.Second)
 		late, err := f.call(f.t.Context(), http.MethodPost, "router-2", "/loans/letters", "plan", header)
 		is.NoErr(err)
 		is.Equal(late.status, http.StatusOK)
@@ -241,7 +241,7 @@
 
 // TestCutStreamIsNeverReplayedAsWhole lets an engine end keyed streams without
 // their closing event: a repeat must hear that the outcome is unknown.
-func TestCutStreamIsNeverReplayedAsWhole(t *testing.T) {
+func TestTruncatedStreamIsNeverReplayedAsComplete(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.New(f.t)
 		cut := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -252,7 +252,7 @@
 			f.network.Close(addressOf(id, "back-end"))
 			f.serveStandIn(id, cut)
 		}
-		c := chat{text: "verdict", stream: true, header: http.Header{"Idempotency-Key": {newKey()}, "Harriernotch-Repeatable": {"no"}}}
+		c := chat{text: "verdict", stream: true, header: http.Header{"Idempotency-Key": {newIdempotencyKey()}, "Harriernotch-Repeatable": {"no"}}}
 		first, err := f.chat(c)
 		is.NoErr(err)
 		is.True(first.readErr != nil) // visibly broken
@@ -263,10 +263,10 @@
 	})
 }
 
-func TestRestartedOwnerNeverRunsAnOldKey(t *testing.T) {
+func TestRestartedOwnerNeverRunsOldKey(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.New(f.t)
-		header := http.Header{"Idempotency-Key": {newKey()}}
+		header := http.Header{"Idempotency-Key": {newIdempotencyKey()}}
 		first, err := f.call(f.t.Context(), http.MethodPost, "router-1", "/loans/letters", "plan", header)
 		is.NoErr(err)
 		owner := first.header.Get("Harriernotch-Back-End")
@@ -276,20 +276,20 @@
 		is.Equal(away.header.Get(failure.HeaderKind), failure.OwnerAway.String())
 		is.True(away.header.Get("Retry-After") != "")
 		f.start(owner)
-		f.settle(20 * time.Second)
+		f.advance(20 * time.Second)
 		again, err := f.call(f.t.Context(), http.MethodPost, "router-2", "/loans/letters", "plan", header)
 		is.NoErr(err)
 		is.Equal(again.header.Get(failure.HeaderKind), failure.OutcomeUnknown.String())
 		is.Equal(again.header.Get(failure.HeaderRan), string(failure.RanUnknown))
 		time.Sleep(time.Millisecond) // another key
-		fresh, err := f.call(f.t.Context(), http.MethodPost, "router-2", "/loans/letters", "plan", http.Header{"Idempotency-Key": {newKey()}})
+		fresh, err := f.call(f.t.Context(), http.MethodPost, "router-2", "/loans/letters", "plan", http.Header{"Idempotency-Key": {newIdempotencyKey()}})
 		is.NoErr(err)
 		is.Equal(fresh.status, http.StatusOK)
 		is.Equal(len(f.services["service-1"].Runs())+len(f.services["service-2"].Runs()), 2)
 	})
 }
 
-func TestProcessWithoutTheClusterKeyIsRefused(t *testing.T) {
+func TestRequestWithoutClusterKeyIsRefused(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.New(f.t)
 		for _, id := range []string{"engine-1", "router-1"} {
@@ -306,7 +306,7 @@
 	})
 }
 
-func TestCallersMistakesAreNamed(t *testing.T) {
+func TestInvalidRequestsGetSpecificErrors(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		cases := []struct {
 			path, body string
@@ -334,7 +334,7 @@
 	})
 }
 
-func (f *fleet) numbers() map[uint64]int {
+func (f *fleet) bundleCounts() map[uint64]int {
 	counts := map[uint64]int{}
 	for _, node := range f.nodes {
 		counts[node.status().Bundle]++
@@ -342,41 +342,41 @@
 	return counts
 }
 
-func TestBundleReachesEveryNodeAndBadOnesNone(t *testing.T) {
+func TestTrustedBundlesReachAllNodesAndUntrustedNone(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.New(f.t)
-		stranger := ed25519.NewKeyFromSeed([]byte(strings.Repeat("s", ed25519.SeedSize)))
-		f.publish(2, stranger, f.document(""))
-		f.settle(17 * time.Second)
-		is.Equal(f.numbers(), map[uint64]int{1: 6})
-		f.publish(3, signingKey, f.document("affinity_wait = \"100ms\"\n"))
-		f.settle(2 * time.Second)
+		untrustedKey := ed25519.NewKeyFromSeed([]byte(strings.Repeat("s", ed25519.SeedSize)))
+		f.publish(2, untrustedKey, f.bundleText(""))
+		f.advance(17 * time.Second)
+		is.Equal(f.bundleCounts(), map[uint64]int{1: 6})
+		f.publish(3, signingKey, f.bundleText("affinity_wait = \"100ms\"\n"))
+		f.advance(2 * time.Second)
 		f.store.SetFaults(standin.PlatformFaults{Down: true})
-		f.settle(15 * time.Second)
-		is.Equal(f.numbers(), map[uint64]int{3: 6})
+		f.advance(15 * time.Second)
+		is.Equal(f.bundleCounts(), map[uint64]int{3: 6})
 		f.kill("engine-2")
 		f.kill("router-2")
 		f.start("engine-2") // the platform is still down: they learn from peers
 		f.start("router-2")
-		f.settle(17 * time.Second)
-		is.Equal(f.numbers(), map[uint64]int{3: 6})
+		f.advance(17 * time.Second)
+		is.Equal(f.bundleCounts(), map[uint64]int{3: 6})
 		is.True(f.nodes["engine-2"].Ready())
 		is.True(f.nodes["router-2"].Ready())
 	})
 }
 
-func TestDeadlineWithoutAnAnswerIsToldAtOnce(t *testing.T) {
+func TestDeadlineExpiryIsReportedAtOnce(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.New(f.t)
 		for _, service := range f.services {
 			service.Delay = time.Minute
 		}
-		begun := time.Now()
+		started := time.Now()
 		got, err := f.call(f.t.Context(), http.MethodPost, "router-1", "/loans/letters", "plan", http.Header{"Harriernotch-Timeout": {"3s"}})
 		is.NoErr(err)
-		is.Equal(time.Since(begun).Round(time.Second), 3*time.Second)
+		is.Equal(time.Since(started).Round(time.Second), 3*time.Second)
 		is.Equal(got.header.Get(failure.HeaderKind), failure.BackendFailed.String())
 		is.Equal(got.header.Get(failure.HeaderRan), string(failure.RanUnknown))
-		f.settle(2 * time.Minute) // the plain service ends its call
+		f.advance(2 * time.Minute) // the plain service ends its call
 	})
 }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -55,7 +55,7 @@
 			nodes: map[string]*Node{}, engines: map[string]*standin.Engine{}, services: map[string]*standin.Service{},
 		}
 		f.client = &http.Client{Transport: &http.Transport{DialContext: f.network.Dial, DisableKeepAlives: true}}
-		f.publish(1, signingKey, f.document(""))
+		f.publish(1, signingKey, f.bundleText(""))
 		for _, id := range []string{"engine-1", "engine-2"} {
 			f.engines[id] = standin.NewEngine(standin.EngineConfig{Models: []string{"m"}, DecodeStep: 10 * time.Millisecond})
 			f.serveStandIn(id, f.engines[id].Handler())
@@ -67,7 +67,7 @@
 		for _, id := range []string{"router-1", "router-2", "engine-1", "engine-2", "service-1", "service-2"} {
 			f.start(id)
 		}
-		f.settle(10 * time.Second)
+		f.advance(10 * time.Second)
 		for id, node := range f.nodes {
 			if !node.Ready() {
 				t.Fatalf("%s is not ready: %+v", id, node.status())
@@ -79,7 +79,7 @@
 }
 
 // document is the fleet's bundle; extra is added to the engine pool.
-func (f *fleet) document(extra string) string {
+func (f *fleet) bundleText(extra string) string {
 	text := "format = 1\n[[tenants]]\nname = \"school\"\nkey_sha256 = [\"" + bundle.HashKey(tenantKey) + "\"]\n"
 	text += "[[pools]]\nname = \"model\"\nkind = \"engine\"\nmodels = [\"m\"]\nload_multiple = 2.0\n" + extra
 	text += backEndText("engine-1") + backEndText("engine-2")
@@ -150,7 +150,7 @@
 }
 
 // settle lets virtual time pass.
-func (f *fleet) settle(span time.Duration) {
+func (f *fleet) advance(span time.Duration) {
 	time.Sleep(span)
 	synctest.Wait()
 }
@@ -165,7 +165,7 @@
 	for _, node := range f.nodes {
 		node.Kill()
 	}
-	f.settle(time.Second) // the server closes a refused upload after a pause
+	f.advance(time.Second) // the server closes a refused upload after a pause
 }
 
 // chat is one turn of a chat.
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -52,21 +52,21 @@
 
 // Gateway is one running gateway.
 type Gateway struct {
-	settings *settings.Settings
-	log      *eventlog.Log
-	metrics  *telemetry.Metrics
-	state    *gateway.State
-	follower *follower.Follower
-	relay    *relay.Relay
-	loads    *collect.Service
+	settings      *settings.Settings
+	log           *eventlog.Log
+	metrics       *telemetry.Metrics
+	state         *gateway.State
+	follower      *follower.Follower
+	relay         *relay.Relay
+	loadCollector *collect.Service
 
 	callers *http.Server
 	// connections are those of callers.
-	connections *draining.Connections
-	others      []*http.Server
-	serving     conc.WaitGroup
+	connections  *draining.Connections
+	otherServers []*http.Server
+	tasks        conc.WaitGroup
 	// reporting is closed to end the reports of gauges.
-	reporting chan struct{}
+	done chan struct{}
 	// transports are closed with the gateway.
 	transports []*http.Transport
 }
@@ -74,14 +74,14 @@
 const (
 	// lapseTenths is the part of the bound on leaving, in tenths, for which lapsed
 	// back ends are used; the rest is for news that travels.
-	lapseTenths = 7
+	lapseTimeTenths = 7
 	// longestLapse is how long after the store's return a back end that lives is
 	// listed again.
-	longestLapse = 2 * time.Second
+	maxLapseTime = 2 * time.Second
 	// callerIdleTimeout is how long a caller's connection may rest.
 	callerIdleTimeout = 60 * time.Second
 	// callerHeaderTimeout bounds a caller's headers.
-	callerHeaderTimeout = 5 * time.Second
+	gatewayHeaderTimeout = 5 * time.Second
 	// killMargin is how long before the platform's kill a stop ends.
 	killMargin = 400 * time.Millisecond
 )
@@ -100,7 +100,7 @@
 	config.WarmUpOverage = *s.Gateway.WarmUpOverage
 	config.WarmUpExtra = s.Gateway.WarmUpExtra
 	config.Rollout = rollout.Limits{Share: s.Gateway.ExposureShare, Extra: s.Gateway.ExposureExtra}
-	config.LapseTime = min(s.Gateway.LeavingBound.Std()*lapseTenths/10, longestLapse)
+	config.LapseTime = min(s.Gateway.LeavingBound.Std()*lapseTimeTenths/10, maxLapseTime)
 	config.Disabled = s.Gateway.Disabled()
 	g := &Gateway{
 		settings: s,
@@ -108,7 +108,7 @@
 		metrics:  telemetry.NewMetrics(),
 		state:    gateway.NewState(dispatch.New(config), environment.Log),
 
-		reporting: make(chan struct{}),
+		done: make(chan struct{}),
 	}
 	g.state.UseClock(environment.Clock)
 	if config.Disabled[dispatch.FollowConfiguration] {
@@ -120,13 +120,13 @@
 	if s.Gateway.EvacuationBound > 0 {
 		g.state.AwaitEvacuations()
 	}
-	if s.Gateway.MovesServices() {
+	if s.Gateway.RolloutsEnabled() {
 		g.state.AwaitRollouts()
 	}
 	if err := g.serve(environment); err != nil {
 		return nil, err
 	}
-	g.follow(environment)
+	g.startFollower(environment)
 	g.log.Urgent(eventlog.Started, logrus.Fields{
 		"callers": s.Listen.Callers, "peers": s.Listen.Peers, "admin": s.Listen.Admin, "zone": s.Zone,
 	})
@@ -149,23 +149,23 @@
 	}
 	g.relay = relay.Start(relay.Config{
 		ID: g.settings.ID, Address: g.settings.Listen.Peers, Seeds: g.settings.Seeds,
-		Zone: g.settings.Zone, Capacity: int(g.settings.Gateway.ProcessorShare * hundredths),
+		Zone: g.settings.Zone, Capacity: int(g.settings.Gateway.ProcessorShare * capacityPerCore),
 		State: g.state, Dial: environment.Dial, Log: g.log, Metrics: g.metrics.Scope,
 	})
-	g.loads = collect.Start(collect.Config{
-		ID: g.settings.ID, Source: loadSource{g.state, g.relay}, Clock: environment.Clock, Dial: environment.Dial, Log: g.log, Metrics: g.metrics.Scope,
+	g.loadCollector = collect.Start(collect.Config{
+		ID: g.settings.ID, Source: collectSource{g.state, g.relay}, Clock: environment.Clock, Dial: environment.Dial, Log: g.log, Metrics: g.metrics.Scope,
 	})
 	metrics := gateway.NewMetrics(g.metrics.Scope)
-	g.serving.Go(func() { g.report(metrics) })
+	g.tasks.Go(func() { g.reportGauges(metrics) })
 	lag := gateway.NewLagMeter(environment.Clock)
-	g.serving.Go(func() { lag.Run(g.reporting, g.state.SetLag) })
+	g.tasks.Go(func() { lag.Run(g.done, g.state.SetLag) })
 	handler := gateway.NewHandler(gateway.Config{
 		State:        g.state,
 		Dialect:      environment.Adapter.Dialect(),
-		Reused:       g.transport(environment, true),
-		Fresh:        g.transport(environment, false),
+		Reused:       g.newTransport(environment, true),
+		Fresh:        g.newTransport(environment, false),
 		MaxBodyBytes: g.settings.Router.MaxBodyBytes,
-		Buffers:      gateway.NewBufferLimit(g.settings.Gateway.HeldBytes()),
+		Buffers:      gateway.NewBufferLimit(g.settings.Gateway.BufferBytes()),
 		Lag:          lag,
 		Log:          g.log,
 		Metrics:      metrics,
@@ -175,30 +175,30 @@
 	g.callers.IdleTimeout = callerIdleTimeout
 	g.connections = draining.New()
 	g.callers.ConnState = g.connections.ConnState
-	g.run(g.callers, g.connections.Listener(listeners["listen.callers"]))
+	g.runServer(g.callers, g.connections.Listener(listeners["listen.callers"]))
 	peers := http.NewServeMux()
 	peers.Handle(relay.Path, g.relay)
-	peers.Handle(collect.Path, g.loads)
+	peers.Handle(collect.Path, g.loadCollector)
 	for field, handler := range map[string]http.Handler{"listen.peers": peers, "listen.admin": g.adminHandler()} {
 		server := g.newServer(handler)
-		g.others = append(g.others, server)
-		g.run(server, listeners[field])
+		g.otherServers = append(g.otherServers, server)
+		g.runServer(server, listeners[field])
 	}
 	g.serveMetrics(environment)
 	return nil
 }
 
 // hundredths is the unit in which gateways tell each other their processor shares.
-const hundredths = 100
+const capacityPerCore = 100
 
 // loadSource is what the collection of loads knows of this gateway.
-type loadSource struct {
+type collectSource struct {
 	*gateway.State
 	relay *relay.Relay
 }
 
 // Live implements collect.Source.
-func (s loadSource) Live() ([]collect.Gateway, bool) {
+func (s collectSource) Live() ([]collect.Gateway, bool) {
 	peers := s.relay.Live()
 	gateways := make([]collect.Gateway, len(peers))
 	for i, each := range peers {
@@ -208,10 +208,10 @@
 }
 
 // transport returns a transport that ends with the gateway.
-func (g *Gateway) transport(environment GatewayEnvironment, reuse bool) *http.Transport {
-	made := hop.NewDirectTransport(environment.Dial, reuse)
-	g.transports = append(g.transports, made)
-	return made
+func (g *Gateway) newTransport(environment GatewayEnvironment, reuse bool) *http.Transport {
+	transport := hop.NewDirectTransport(environment.Dial, reuse)
+	g.transports = append(g.transports, transport)
+	return transport
 }
 
 // serveMetrics opens the listener for metrics alone, where the settings name one.
@@ -228,14 +228,14 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", g.metrics.Handler)
 	server := g.newServer(mux)
-	g.others = append(g.others, server)
-	g.run(server, listener)
+	g.otherServers = append(g.otherServers, server)
+	g.runServer(server, listener)
 }
 
 // gaugePeriod is the time between two reports of what the gateway knows.
 const gaugePeriod = time.Second
 
-func (g *Gateway) report(metrics *gateway.Metrics) {
+func (g *Gateway) reportGauges(metrics *gateway.Metrics) {
 	suspended := time.Duration(0)
 	ticker := time.NewTicker(gaugePeriod)
 	defer ticker.Stop()
@@ -247,36 +247,36 @@
 				g.log.Urgent(eventlog.Resumed, logrus.Fields{"suspended_ms": (now - suspended).Milliseconds()})
 				suspended = now
 			}
-		case <-g.reporting:
+		case <-g.done:
 			return
 		}
 	}
 }
 
 func (g *Gateway) newServer(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: callerHeaderTimeout, ErrorLog: newServerLog(g.log.Entry())}
+	return &http.Server{Handler: handler, ReadHeaderTimeout: gatewayHeaderTimeout, ErrorLog: newServerLog(g.log.Entry())}
 }
 
-func (g *Gateway) run(server *http.Server, listener net.Listener) {
-	g.serving.Go(func() {
+func (g *Gateway) runServer(server *http.Server, listener net.Listener) {
+	g.tasks.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			g.log.Entry().WithError(err).Error("a listener failed")
 		}
 	})
 }
 
-func (g *Gateway) follow(environment GatewayEnvironment) {
-	toStore := follower.Transports{Plain: g.transport(environment, true), Watches: g.transport(environment, true)}
+func (g *Gateway) startFollower(environment GatewayEnvironment) {
+	storeTransports := follower.Transports{Plain: g.newTransport(environment, true), Watches: g.newTransport(environment, true)}
 	g.follower = follower.Start(follower.Config{
-		Source:     environment.Adapter.Source(g.settings.Platform.URL, toStore, g.noteUnreadable),
+		Source:     environment.Adapter.Source(g.settings.Platform.URL, storeTransports, g.countUnreadable),
 		State:      g.state,
 		ReadPeriod: g.settings.Gateway.ReadPeriod.Std(),
 
 		Evacuations: g.settings.Gateway.EvacuationBound > 0,
-		Rollouts:    g.settings.Gateway.MovesServices(),
+		Rollouts:    g.settings.Gateway.RolloutsEnabled(),
 		FirstStart:  g.settings.Gateway.FirstStart,
-		PeersFirst:  g.settings.Gateway.FirstStart && g.hasOtherSeeds(),
-		Connections: toStore,
+		PeersFirst:  g.settings.Gateway.FirstStart && g.seedsExcludeSelf(),
+		Connections: storeTransports,
 		Log:         g.log,
 		Metrics:     g.metrics.Scope,
 	})
@@ -284,12 +284,12 @@
 
 // hasOtherSeeds tells whether the settings name gateways to meet first, and this one isn't among
 // them: those read the platform's store at once.
-func (g *Gateway) hasOtherSeeds() bool {
+func (g *Gateway) seedsExcludeSelf() bool {
 	return len(g.settings.Seeds) > 0 && !slices.Contains(g.settings.Seeds, g.settings.Listen.Peers)
 }
 
 // noteUnreadable counts objects of the store that can't be used, each revision once.
-func (g *Gateway) noteUnreadable(object catalog.Unreadable) {
+func (g *Gateway) countUnreadable(object catalog.Unreadable) {
 	if g.state.NoteUnreadable(object) {
 		labels := map[string]string{"kind": string(object.Kind), "reason": string(object.Reason)}
 		g.metrics.Scope.Tagged(labels).Counter("objects_unreadable").Inc(1)
@@ -350,16 +350,16 @@
 		g.connections.Close()
 	}
 	g.follower.Close()
-	g.loads.Close()
+	g.loadCollector.Close()
 	g.relay.Close()
-	for _, server := range g.others {
+	for _, server := range g.otherServers {
 		_ = server.Close()
 	}
 	for _, transport := range g.transports {
 		transport.CloseIdleConnections()
 	}
-	close(g.reporting)
-	g.serving.Wait()
+	close(g.done)
+	g.tasks.Wait()
 	_ = g.metrics.Close()
 	g.log.Urgent(eventlog.Stopped, nil)
 }
--- a/internal/daemon/notice_test.go
+++ b/internal/daemon/notice_test.go
@@ -14,29 +14,29 @@
 
 // countingBackEnd answers as it is told to, and counts what it gets.
 type countingBackEnd struct {
-	got    atomic.Int64
-	answer atomic.Pointer[http.HandlerFunc]
+	received atomic.Int64
+	handler  atomic.Pointer[http.HandlerFunc]
 }
 
 func (b *countingBackEnd) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	b.got.Add(1)
-	(*b.answer.Load())(w, r)
+	b.received.Add(1)
+	(*b.handler.Load())(w, r)
 }
 
-func (b *countingBackEnd) answers(answer http.HandlerFunc) { b.answer.Store(&answer) }
+func (b *countingBackEnd) setHandler(answer http.HandlerFunc) { b.handler.Store(&answer) }
 
 // replaceService puts a counting back end in the place of a service's.
 func (f *fleet) replaceService(id string, answer http.HandlerFunc) *countingBackEnd {
-	placed := &countingBackEnd{}
-	placed.answers(answer)
+	backEnd := &countingBackEnd{}
+	backEnd.setHandler(answer)
 	f.network.Close(addressOf(id, "back-end"))
-	f.serveStandIn(id, placed)
-	return placed
+	f.serveStandIn(id, backEnd)
+	return backEnd
 }
 
 // loadService sends requests to the plain service for a while, and returns how many got which
 // status.
-func (f *fleet) loadService(span time.Duration) map[int]int {
+func (f *fleet) callServiceFor(span time.Duration) map[int]int {
 	statuses := map[int]int{}
 	for until := time.Now().Add(span); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
 		got, err := f.call(f.t.Context(), http.MethodGet, "router-1", "/loans/plan", "", nil)
@@ -48,9 +48,9 @@
 	return statuses
 }
 
-func sayHello(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "hello") }
+func answerHello(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "hello") }
 
-func asksForRest(w http.ResponseWriter, _ *http.Request) {
+func answerRetryAfter(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Retry-After", "3")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
@@ -59,34 +59,34 @@
 func TestAgentLeavesABackEndAloneThatAsksForRest(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.NewRelaxed(f.t)
-		resting := f.replaceService("service-1", asksForRest)
-		f.loadService(500 * time.Millisecond)
-		told := resting.got.Load()
-		is.True(told >= 1)
-		statuses := f.loadService(2 * time.Second)
-		is.Equal(resting.got.Load(), told)
+		resting := f.replaceService("service-1", answerRetryAfter)
+		f.callServiceFor(500 * time.Millisecond)
+		before := resting.received.Load()
+		is.True(before >= 1)
+		statuses := f.callServiceFor(2 * time.Second)
+		is.Equal(resting.received.Load(), before)
 		is.Equal(len(statuses), 1) // the other back end serves them all
 		is.True(statuses[http.StatusOK] > 0)
-		resting.answers(sayHello)
-		f.settle(time.Second)
-		f.loadService(time.Second)
-		is.True(resting.got.Load() > told) // it is used again
+		resting.setHandler(answerHello)
+		f.advance(time.Second)
+		f.callServiceFor(time.Second)
+		is.True(resting.received.Load() > before) // it is used again
 	})
 }
 
 // An agent went on sending to a back end whose answers said that it leaves.
-func TestAgentOfABackEndThatSaysItLeavesTakesNothingNew(t *testing.T) {
+func TestAgentOfLeavingBackEndGetsNoNewRequests(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.NewRelaxed(f.t)
 		leaving := f.replaceService("service-1", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Leaving", "1")
-			sayHello(w, r)
+			answerHello(w, r)
 		})
-		f.loadService(500 * time.Millisecond)
-		told := leaving.got.Load()
-		is.True(told >= 1)
-		statuses := f.loadService(5 * time.Second)
-		is.Equal(leaving.got.Load(), told)
+		f.callServiceFor(500 * time.Millisecond)
+		before := leaving.received.Load()
+		is.True(before >= 1)
+		statuses := f.callServiceFor(5 * time.Second)
+		is.Equal(leaving.received.Load(), before)
 		is.Equal(len(statuses), 1)
 		is.True(statuses[http.StatusOK] > 0)
 	})
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -74,13 +74,13 @@
 // heldPart is the part of the memory, as one in so many, for what is held for others. The
 // process itself, connections and the collector's slack take the rest: 48 MB at rest in a fleet
 // of hundreds, and some 20 KB a connection.
-const heldPart = 8
+const bufferDivisor = 8
 
 // HeldBytes bounds what the gateway holds for callers and back ends; 0 for no bound.
-func (g *Gateway) HeldBytes() int64 { return int64(g.MemoryMegabytes) << 20 / heldPart }
+func (g *Gateway) BufferBytes() int64 { return int64(g.MemoryMegabytes) << 20 / bufferDivisor }
 
 // MovesServices tells whether operators may move services to other versions.
-func (g *Gateway) MovesServices() bool { return g.ExposureShare > 0 || g.ExposureExtra > 0 }
+func (g *Gateway) RolloutsEnabled() bool { return g.ExposureShare > 0 || g.ExposureExtra > 0 }
 
 // Disabled returns Disable as a set.
 func (g *Gateway) Disabled() dispatch.Disabled {
@@ -103,21 +103,21 @@
 	maxWarmUpOverage     = 100
 	maxWarmUpExtra       = 1e6
 	maxExposureExtra     = 1e6
-	leastMemoryMegabytes = 32
-	mostMemoryMegabytes  = 1 << 20
+	minMemoryMegabytes   = 32
+	maxMemoryMegabytes   = 1 << 20
 	// leastProcessorShare to mostProcessorShare are cores.
 	defaultProcessorShare = 1
-	leastProcessorShare   = 0.01
-	mostProcessorShare    = 1024
-	longestReadPeriod     = time.Minute
+	minProcessorShare     = 0.01
+	maxProcessorShare     = 1024
+	maxReadPeriod         = time.Minute
 	// readFifths is the default read period in fifths of the shortest bound on news.
-	readFifths          = 2
-	longestLeavingBound = 10 * time.Minute
-	shortestReadPeriod  = 100 * time.Millisecond
-	maxLoadMultiple     = 10
-	maxLoadSlack        = 100
-	maxRetryRatio       = 10
-	maxRetryExtra       = 1e6
+	readPeriodFifths = 2
+	maxLeavingBound  = 10 * time.Minute
+	minReadPeriod    = 100 * time.Millisecond
+	maxLoadMultiple  = 10
+	maxLoadSlack     = 100
+	maxRetryRatio    = 10
+	maxRetryExtra    = 1e6
 )
 
 func (g *Gateway) applyDefaults() {
@@ -139,7 +139,7 @@
 		if g.EvacuationBound > 0 {
 			bound = min(bound, g.EvacuationBound)
 		}
-		g.ReadPeriod = min(max(bound*readFifths/5, tomlfile.Duration(shortestReadPeriod)), tomlfile.Duration(longestReadPeriod))
+		g.ReadPeriod = min(max(bound*readPeriodFifths/5, tomlfile.Duration(minReadPeriod)), tomlfile.Duration(maxReadPeriod))
 	}
 }
 
@@ -168,19 +168,19 @@
 	c.number("gateway.retry_extra", *g.RetryExtra, 0, maxRetryExtra)
 	c.number("gateway.load_multiple", g.LoadMultiple, 1, maxLoadMultiple)
 	c.number("gateway.load_slack", *g.LoadSlack, 0, maxLoadSlack)
-	c.number("gateway.processor_share", g.ProcessorShare, leastProcessorShare, mostProcessorShare)
-	c.duration("gateway.leaving_bound", g.LeavingBound, shortestReadPeriod, longestLeavingBound)
+	c.number("gateway.processor_share", g.ProcessorShare, minProcessorShare, maxProcessorShare)
+	c.duration("gateway.leaving_bound", g.LeavingBound, minReadPeriod, maxLeavingBound)
 	c.number("gateway.warm_up_overage", *g.WarmUpOverage, 0, maxWarmUpOverage)
 	c.number("gateway.warm_up_extra", g.WarmUpExtra, 0, maxWarmUpExtra)
 	c.number("gateway.exposure_share", g.ExposureShare, 0, 1)
 	c.number("gateway.exposure_extra", g.ExposureExtra, 0, maxExposureExtra)
 	if g.MemoryMegabytes != 0 {
-		c.number("gateway.memory_megabytes", float64(g.MemoryMegabytes), leastMemoryMegabytes, mostMemoryMegabytes)
+		c.number("gateway.memory_megabytes", float64(g.MemoryMegabytes), minMemoryMegabytes, maxMemoryMegabytes)
 	}
 	if g.EvacuationBound != 0 {
-		c.duration("gateway.evacuation_bound", g.EvacuationBound, shortestReadPeriod, longestLeavingBound)
+		c.duration("gateway.evacuation_bound", g.EvacuationBound, minReadPeriod, maxLeavingBound)
 	}
-	c.duration("gateway.read_period", g.ReadPeriod, shortestReadPeriod, longestReadPeriod)
+	c.duration("gateway.read_period", g.ReadPeriod, minReadPeriod, maxReadPeriod)
 }
 
 func (c *checker) number(field string, value, low, high float64) {
--- a/internal/settings/gateway_test.go
+++ b/internal/settings/gateway_test.go
@@ -23,15 +23,15 @@
 `
 
 // What isn't set follows from what the platform tells.
-func TestReadPeriodFollowsTheShortestBound(t *testing.T) {
+func TestDefaultReadPeriodFollowsShortestBound(t *testing.T) {
 	is := is.New(t)
 	for line, want := range map[string]time.Duration{
 		"":                        800 * time.Millisecond,
 		`leaving_bound = "3s"`:    1200 * time.Millisecond,
-		`leaving_bound = "100ms"`: shortestReadPeriod,
+		`leaving_bound = "100ms"`: minReadPeriod,
 		`evacuation_bound = "1s"`: 400 * time.Millisecond,
 		`evacuation_bound = "9s"`: 800 * time.Millisecond,
-		`leaving_bound = "10m"`:   longestReadPeriod,
+		`leaving_bound = "10m"`:   maxReadPeriod,
 		`read_period = "500ms"`:   500 * time.Millisecond,
 	} {
 		s, err := Parse("s.toml", []byte(gatewaySettings+line))
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestGatewayBoundsAreTakenAsTold(t *testing.T) {
+func TestGatewaySettingsAreParsedAndChecked(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse("s.toml", []byte(gatewaySettings+"load_multiple = 1.4\n"))
 	is.NoErr(err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -118,7 +118,7 @@
 	defaultMaxTimeout   = 10 * time.Minute
 	defaultDrainDelay   = 5 * time.Second
 	defaultDrainTimeout = 10 * time.Minute
-	longestTimeout      = 24 * time.Hour
+	maxTimeout          = 24 * time.Hour
 	clusterKeyBytes     = 32
 )
 
@@ -204,8 +204,8 @@
 	if s.HopProtocol != hop.HTTP1 && s.HopProtocol != hop.HTTP2 {
 		c.add("hop_protocol", fmt.Sprintf("%q is unknown", s.HopProtocol), `write "http1" or "http2"`)
 	}
-	c.duration("drain_delay", s.DrainDelay, time.Millisecond, longestTimeout)
-	c.duration("drain_timeout", s.DrainTimeout, time.Second, longestTimeout)
+	c.duration("drain_delay", s.DrainDelay, time.Millisecond, maxTimeout)
+	c.duration("drain_timeout", s.DrainTimeout, time.Second, maxTimeout)
 	c.checkLog(s.Log)
 	if s.Role == RoleRouter {
 		c.checkRouter(s)
@@ -248,8 +248,8 @@
 	if s.Router.MaxBodyBytes < 1 || s.Router.MaxBodyBytes > maxMaxBody {
 		c.add("router.max_body_bytes", fmt.Sprintf("%d is out of range", s.Router.MaxBodyBytes), fmt.Sprintf("write a value from 1 to %d", maxMaxBody))
 	}
-	c.duration("router.default_timeout", s.Router.DefaultTimeout, time.Millisecond, longestTimeout)
-	c.duration("router.max_timeout", s.Router.MaxTimeout, s.Router.DefaultTimeout.Std(), longestTimeout)
+	c.duration("router.default_timeout", s.Router.DefaultTimeout, time.Millisecond, maxTimeout)
+	c.duration("router.max_timeout", s.Router.MaxTimeout, s.Router.DefaultTimeout.Std(), maxTimeout)
 	if s.Agent.BackEnd != "" {
 		c.add("agent.back_end", "is for agents", "remove it")
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-const good = `role = "router"
+const routerSettings = `role = "router"
 id = "r1"
 zone = "a"
 cluster_key = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef"
@@ -20,7 +20,7 @@
 admin = "127.0.0.1:0"
 `
 
-func TestParseNamesLineFieldAndRemedy(t *testing.T) {
+func TestParseErrorsNameLineFieldAndRemedy(t *testing.T) {
 	cases := map[string]struct{ from, to, want string }{
 		"unknown key":  {`zone =`, `zoen =`, "s.toml:3: zoen: unknown key; remove it"},
 		"bad role":     {`"router"`, `"proxy"`, `s.toml:1: role: "proxy" is unknown; write "router", "agent" or "gateway"`},
@@ -32,16 +32,16 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := Parse("s.toml", []byte(strings.Replace(good, c.from, c.to, 1)))
+			_, err := Parse("s.toml", []byte(strings.Replace(routerSettings, c.from, c.to, 1)))
 			is.Equal(failure.KindOf(err), failure.InvalidSettings)
 			is.True(strings.Contains(err.Error(), c.want))
 		})
 	}
 }
 
-func TestGoodSettingsGetDefaults(t *testing.T) {
+func TestValidSettingsGetDefaults(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("s.toml", []byte(good))
+	s, err := Parse("s.toml", []byte(routerSettings))
 	is.NoErr(err)
 	is.Equal(s.Router.MaxBodyBytes, int64(defaultMaxBody))
 	is.Equal(len(s.ClusterKeyBytes()), 32)
@@ -49,7 +49,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(routerSettings))
 	f.Add([]byte("role = 1"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Parse("s.toml", data)
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -134,7 +134,7 @@
 // line finds the field, or the nearest table around it.
 func (d *Document) line(field string) int {
 	if d.lines == nil {
-		d.lines = locate(d.data)
+		d.lines = indexLines(d.data)
 	}
 	for path := field; path != ""; {
 		if line, ok := d.lines[path]; ok {
@@ -151,7 +151,7 @@
 
 // locate maps every field's dotted path to its line. A document that already
 // decoded can't fail to parse here.
-func locate(data []byte) map[string]int {
+func indexLines(data []byte) map[string]int {
 	lines := map[string]int{}
 	counts := map[string]int{}
 	parser := unstable.Parser{}
@@ -162,15 +162,15 @@
 		line := expressionLine(&parser, expression)
 		switch expression.Kind {
 		case unstable.Table:
-			prefix = resolvePath(keyOf(expression), counts)
+			prefix = resolvePath(keyParts(expression), counts)
 			lines[prefix] = line
 		case unstable.ArrayTable:
-			name := resolveListPath(keyOf(expression), counts)
+			name := resolveArrayPath(keyParts(expression), counts)
 			prefix = fmt.Sprintf("%s.%d", name, counts[name])
 			counts[name]++
 			lines[prefix] = line
 		case unstable.KeyValue:
-			path := strings.Join(keyOf(expression), ".")
+			path := strings.Join(keyParts(expression), ".")
 			if prefix != "" {
 				path = prefix + "." + path
 			}
@@ -181,7 +181,7 @@
 }
 
 // resolveListPath resolves a list's parents but not the list itself.
-func resolveListPath(key []string, counts map[string]int) string {
+func resolveArrayPath(key []string, counts map[string]int) string {
 	last := len(key) - 1
 	parent := resolvePath(key[:last], counts)
 	if parent == "" {
@@ -205,7 +205,7 @@
 	return path
 }
 
-func keyOf(expression *unstable.Node) []string {
+func keyParts(expression *unstable.Node) []string {
 	var parts []string
 	for it := expression.Key(); it.Next(); {
 		parts = append(parts, string(it.Node().Data))
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -34,7 +34,7 @@
 id = "z"
 `
 
-func TestProblemNamesTheLineOfNestedLists(t *testing.T) {
+func TestProblemLinesInNestedArrays(t *testing.T) {
 	is := is.New(t)
 	var s sample
 	doc, err := Decode("f.toml", []byte(document), &s)
@@ -45,7 +45,7 @@
 	is.Equal(doc.Problem("pools.1.absent", "bad", "fix").Line, 11) // the nearest table
 }
 
-func TestUnknownKeyAndWrongTypeNameTheirLine(t *testing.T) {
+func TestUnknownKeyAndWrongTypeReportTheirLine(t *testing.T) {
 	is := is.New(t)
 	var s sample
 	_, err := Decode("f.toml", []byte("name = \"a\"\nnmae = 1\n"), &s)
