--- a/cmd/harriernotch/main.go
+++ b/cmd/harriernotch/main.go
@@ -1,4 +1,4 @@
-// Harriernotch is the operators' command-line tool.
+// Harriernotch is the command-line tool for operators.
 package main
 
 import (
--- a/cmd/harriernotchd/libc.go
+++ b/cmd/harriernotchd/libc.go
@@ -1,6 +1,7 @@
 package main
 
-// The platform needs programs that are linked against the system's C library.
-// Without cgo this file is left out, and the program still works elsewhere.
+// The platform requires programs that are linked against the system's C library.
+// Importing "C" does this. Without cgo this file is excluded from the build, and the
+// program still works on other platforms.
 
 import "C"
--- a/cmd/harriernotchd/main.go
+++ b/cmd/harriernotchd/main.go
@@ -1,4 +1,4 @@
-// Harriernotchd runs one node of the router fleet.
+// Harriernotchd runs one node of the fleet: a router, an agent or a gateway.
 package main
 
 import (
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,4 +1,5 @@
-// Package examples holds the two users' deployments. The tests keep them valid.
+// Package examples contains the deployments of two users. The test checks that their
+// bundles and settings are valid.
 package examples
 
 import (
@@ -28,7 +29,7 @@
 				is.Equal(s.Role, role)
 				if role == "agent" {
 					pool, _ := content.PoolOf(s.ID)
-					is.True(pool != nil) // the agent's name stands in the bundle
+					is.True(pool != nil) // the bundle lists the agent's back end
 				}
 			}
 		})
--- a/internal/cli/bundle.go
+++ b/internal/cli/bundle.go
@@ -22,16 +22,16 @@
 //go:embed bundle.toml
 var exampleBundle []byte
 
-// File names that `bundle init` writes.
+// Names of the files that `bundle init` writes.
 const (
 	bundleFile = "bundle.toml"
 	keyFile    = "signing.key"
 )
 
-// publicFileMode is for files that anyone may read.
+// publicFileMode is the mode of files that every user may read.
 const publicFileMode = 0o644
 
-// platformFlags name the platform and the keys to trust.
+// platformFlags are the flags for the platform and the trusted keys.
 type platformFlags struct {
 	url     string
 	trusted []string
@@ -45,7 +45,8 @@
 	}
 }
 
-// publisher returns a publisher that trusts the flags' keys and own, if given.
+// publisher returns a publisher that trusts the keys in the flags and, unless it is nil,
+// signingKey.
 func (f *platformFlags) publisher(signingKey ed25519.PrivateKey) (*objectstore.Publisher, error) {
 	trusted, err := parsePublicKeys(f.trusted)
 	if err != nil {
@@ -55,7 +56,7 @@
 		trusted = append(trusted, publicKeyOf(signingKey))
 	}
 	if len(trusted) == 0 {
-		return nil, failure.New(failure.InvalidRequest, "--trusted: there is none; name the public key that `bundle init` printed")
+		return nil, failure.New(failure.InvalidRequest, "--trusted is missing; name the public key that `bundle init` printed")
 	}
 	return objectstore.NewPublisher(objectstore.NewHTTPClient(f.url, nil), trusted, time.Now), nil
 }
@@ -82,7 +83,7 @@
 			}
 			path := filepath.Join(directory, bundleFile)
 			if _, err := os.Stat(path); err == nil {
-				return failure.New(failure.InvalidRequest, path+" exists; it was left as it is")
+				return failure.New(failure.InvalidRequest, path+" already exists and was not changed")
 			}
 			if err := os.WriteFile(path, exampleBundle, publicFileMode); err != nil {
 				return errors.Wrap(err, "write the example bundle")
@@ -92,14 +93,14 @@
 			return err
 		},
 	}
-	command.Flags().StringVar(&directory, "dir", ".", "where to write")
+	command.Flags().StringVar(&directory, "dir", ".", "the directory for the files")
 	return command
 }
 
 func newBundleCheckCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a bundle document and name every problem with its remedy",
+		Short: "Check a bundle document and report every problem with its remedy",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			content, _, err := readBundle(args[0])
@@ -161,19 +162,20 @@
 	flags.register(command, false)
 	command.Flags().StringVar(&keyPath, "key", keyFile, "the signing key")
 	command.Flags().StringVar(&out, "out", "", "the signed file (default FILE.signed)")
-	command.Flags().StringVar(&note, "note", "", "a remark for other operators")
-	command.Flags().Uint64Var(&number, "number", 0, "the number, when no platform is named")
+	command.Flags().StringVar(&note, "note", "", "a note for other operators")
+	command.Flags().Uint64Var(&number, "number", 0, "the bundle's number; used only without --platform")
 	return command
 }
 
-// nextHeader numbers a version and carries over what its predecessor requires.
-// Without a platform the number is the operator's.
+// nextHeader returns the header of the next bundle: the number after the published
+// bundle's, and the handovers and stale-until time that follow from replacing it.
+// Without a platform it uses the given number.
 func nextHeader(ctx context.Context, flags platformFlags, key ed25519.PrivateKey, source []byte, number uint64) (bundle.Header, error) {
 	now := time.Now()
 	header := bundle.Header{Number: number, Identifier: uuid.NewString(), SignedAtMillis: now.UnixMilli()}
 	if flags.url == "" {
 		if number == 0 {
-			return header, failure.New(failure.InvalidRequest, "name --platform, to take the next number, or --number")
+			return header, failure.New(failure.InvalidRequest, "name --platform to take the next number, or set --number")
 		}
 		return header, nil
 	}
@@ -259,12 +261,12 @@
 		return nil, err
 	}
 	if current == nil {
-		return nil, failure.New(failure.InvalidRequest, "no bundle was published yet; run `bundle publish`")
+		return nil, failure.New(failure.InvalidRequest, "no bundle has been published yet; run `bundle publish`")
 	}
 	return current, nil
 }
 
-// diffContext is the number of unchanged lines around a change.
+// diffContext is the number of unchanged lines that a diff shows around a change.
 const diffContext = 3
 
 func newBundleDiffCommand() *cobra.Command {
@@ -326,7 +328,7 @@
 	}
 	flags.register(command, true)
 	command.Flags().StringVar(&keyPath, "key", keyFile, "the signing key")
-	command.Flags().Uint64Var(&to, "to", 0, "the number whose document comes back")
+	command.Flags().Uint64Var(&to, "to", 0, "the number of the archived document to publish")
 	_ = command.MarkFlagRequired("to")
 	return command
 }
--- a/internal/cli/bundle_test.go
+++ b/internal/cli/bundle_test.go
@@ -15,7 +15,7 @@
 	"github.com/harriernotch/harriernotch/internal/standin"
 )
 
-// tool runs the command line and returns what it printed.
+// runTool runs a harriernotch command and returns its output.
 func runTool(arguments ...string) (string, error) {
 	var output bytes.Buffer
 	command := NewToolCommand(nil)
@@ -39,7 +39,7 @@
 	is.NoErr(err)
 	public := regexp.MustCompile(`trusted_keys: (\S+)`).FindStringSubmatch(printed)[1]
 	_, err = runTool("bundle", "init", "--dir", dir)
-	is.True(err != nil) // a key is never replaced
+	is.True(err != nil) // an existing key is never overwritten
 
 	printed, err = runTool("bundle", "check", file)
 	is.NoErr(err)
@@ -58,7 +58,7 @@
 	is.NoErr(err)
 	is.True(strings.Contains(printed, "-load_multiple = 1.25\n+load_multiple = 1.5\n"))
 
-	// Two operators sign number 2; the second to publish gets a conflict.
+	// Two operators sign number 2; the second one to publish gets a conflict.
 	for _, name := range []string{"ours", "theirs"} {
 		_, err = runTool("bundle", "sign", file, "--key", key, "--platform", server.URL, "--note", name, "--out", filepath.Join(dir, name))
 		is.NoErr(err)
@@ -86,14 +86,14 @@
 		arguments []string
 		want      string
 	}{
-		"unknown key":      {[]string{"bundle", "check", bad}, "bad.toml:2: nmae: unknown key"},
-		"no number":        {[]string{"bundle", "sign", "bundle.toml", "--key", bad}, "is not a signing key"},
-		"bad trusted key":  {[]string{"bundle", "status", "--platform", "http://127.0.0.1:1", "--trusted", "x"}, "--trusted: x is not an Ed25519 public key"},
-		"unknown scenario": {[]string{"simulate", "--scenario", "x"}, "--scenario: unknown"},
-		"unknown size":     {[]string{"simulate", "--size", "x"}, "--size: unknown"},
-		"unknown policy":   {[]string{"simulate", "--policy", "x"}, "--policy: unknown"},
-		"unknown break":    {[]string{"simulate", "--break", "x"}, "--break: unknown"},
-		"load elsewhere":   {[]string{"load", "--target", "http://10.0.0.1:80"}, "--target must be on loopback"},
+		"unknown key":           {[]string{"bundle", "check", bad}, "bad.toml:2: nmae: unknown key"},
+		"bad signing key":       {[]string{"bundle", "sign", "bundle.toml", "--key", bad}, "is not a signing key"},
+		"bad trusted key":       {[]string{"bundle", "status", "--platform", "http://127.0.0.1:1", "--trusted", "x"}, "--trusted: x is not an Ed25519 public key"},
+		"unknown scenario":      {[]string{"simulate", "--scenario", "x"}, "--scenario: unknown"},
+		"unknown size":          {[]string{"simulate", "--size", "x"}, "--size: unknown"},
+		"unknown policy":        {[]string{"simulate", "--policy", "x"}, "--policy: unknown"},
+		"unknown break":         {[]string{"simulate", "--break", "x"}, "--break: unknown"},
+		"load target elsewhere": {[]string{"load", "--target", "http://10.0.0.1:80"}, "--target must be on loopback"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -1,4 +1,5 @@
-// Package cli holds the commands of the two programs.
+// Package cli implements the commands of harriernotchd, the daemon, and of harriernotch,
+// the operators' tool.
 package cli
 
 import (
@@ -21,13 +22,13 @@
 	"github.com/harriernotch/harriernotch/internal/telemetry"
 )
 
-// Platform is the platform that gateways of this program run on.
+// Platform is the platform on which the program's gateways run.
 type Platform struct {
-	// Adapter joins a gateway to it.
+	// Adapter connects a gateway to the platform.
 	Adapter daemon.Adapter
-	// Protocol is what its stand-ins speak.
+	// Protocol is the protocol of the platform's stand-ins.
 	Protocol wire.Protocol
-	// SettingsPath is where it laid the settings file, or "".
+	// SettingsPath is the path of the settings file that the platform provides, or "".
 	SettingsPath string
 }
 
@@ -42,7 +43,7 @@
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if path == "" {
-				return failure.New(failure.InvalidSettings, "no settings file is named; give one with --config")
+				return failure.New(failure.InvalidSettings, "no settings file; name one with --config")
 			}
 			return run(cmd.Context(), path, platform)
 		},
@@ -85,7 +86,7 @@
 func newCheckConfigCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check-config FILE",
-		Short: "Check a settings file and name every problem with its remedy",
+		Short: "Check a settings file and report every problem with its remedy",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			s, err := settings.Load(args[0])
@@ -98,7 +99,7 @@
 	}
 }
 
-// Fleets that the demo serves.
+// Values of the demo's flag --fleet.
 const (
 	fleetGateways = "gateways"
 	fleetAgents   = "agents"
@@ -127,8 +128,8 @@
 			return runDemo(cmd, listen, log)
 		},
 	}
-	command.Flags().StringVar(&listen, "listen", "127.0.0.1:18080", "the callers' address; port 0 picks a free one")
-	command.Flags().StringVar(&fleet, "fleet", fleetGateways, `"gateways" that read a platform's store, or routers and "agents" with signed bundles`)
+	command.Flags().StringVar(&listen, "listen", "127.0.0.1:18080", "the address for callers; port 0 picks a free port")
+	command.Flags().StringVar(&fleet, "fleet", fleetGateways, `"gateways": gateways that read a platform's store; "agents": routers and agents with signed bundles`)
 	command.Flags().StringVar(&level, "log-level", "error", "the log level")
 	return command
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -15,9 +15,9 @@
 	var request string
 	command := &cobra.Command{
 		Use:   "explain --request ID [LOG ...]",
-		Short: "Tell a request's story from the logs of gateways, and the likely cause of its end",
-		Long: "Reads the JSON lines of any number of gateways from the named files, or from standard input, " +
-			"orders them in spite of clocks that differ, and prints what became of the request.",
+		Short: "Reconstruct a request from the gateways' logs and name the likely cause of its outcome",
+		Long: "Reads the JSON log lines of any number of gateways from the named files, or from standard input, " +
+			"orders them despite differences between the gateways' clocks, and prints what happened to the request.",
 		RunE: func(cmd *cobra.Command, files []string) error {
 			if request == "" {
 				return failure.New(failure.InvalidRequest, "--request is missing; name the request's ID as the caller sent it")
@@ -35,7 +35,7 @@
 		return err
 	}
 	if len(log.Lines) == 0 {
-		return failure.New(failure.InvalidRequest, fmt.Sprintf("no line of a gateway's log was found, %d others were passed over; name the files with the JSON lines of all gateways", log.Skipped))
+		return failure.New(failure.InvalidRequest, fmt.Sprintf("no log line of a gateway was found, and %d other lines were skipped; name the files with the JSON logs of all gateways", log.Skipped))
 	}
 	offsets := log.Align()
 	return log.Tell(request).Print(output, offsets)
@@ -49,7 +49,7 @@
 	for _, name := range files {
 		file, err := os.Open(name)
 		if err != nil {
-			return nil, failure.Wrap(failure.InvalidRequest, err, "a log can't be opened")
+			return nil, failure.Wrap(failure.InvalidRequest, err, "can't open a log file")
 		}
 		err = log.Read(file)
 		_ = file.Close()
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -16,10 +16,11 @@
 	"github.com/harriernotch/harriernotch/internal/settings"
 )
 
-// runGateway runs a gateway until SIGTERM; SIGHUP reads the settings anew.
+// runGateway runs a gateway until SIGTERM, an interrupt or the end of ctx. SIGHUP reloads the
+// settings.
 func runGateway(ctx context.Context, path string, s *settings.Settings, adapter daemon.Adapter) error {
-	// Signals are taken before anything else: a reload may come while the gateway
-	// starts, and must not end it.
+	// The signals are caught before the gateway starts: a SIGHUP that arrives while it
+	// starts must not terminate the process.
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
 	defer signal.Stop(signals)
@@ -29,7 +30,8 @@
 	}
 	log := eventlog.New(os.Stdout, level, logrus.Fields{"node": s.ID, "role": s.Role})
 	defer log.Close()
-	// Libraries complain on the standard logger; standard output holds JSON alone.
+	// Libraries report errors as plain text through the standard logger. It is redirected
+	// to the event log, because the gateway's log must contain only JSON.
 	stdlog.SetOutput(log.Entry().WriterLevel(logrus.DebugLevel))
 	daemon.SetMemoryLimit(s.Gateway.MemoryMegabytes)
 	node, err := daemon.StartGateway(s, daemon.GatewayEnvironment{Adapter: adapter, Clock: clock.New(), Log: log})
@@ -43,7 +45,8 @@
 	return nil
 }
 
-// awaitStop returns when the gateway is to stop, and reloads until then.
+// waitForStop returns when the gateway must stop. Until then it reloads the settings on each
+// SIGHUP.
 func waitForStop(ctx context.Context, path string, node *daemon.Gateway, signals <-chan os.Signal, log *eventlog.Log) {
 	for {
 		select {
@@ -58,8 +61,7 @@
 	}
 }
 
-// reload reads the settings anew. Settings that can't be used leave the old ones
-// in force.
+// reload reloads the settings. If they are invalid, the previous ones stay in force.
 func reload(path string, node *daemon.Gateway, log *eventlog.Log) {
 	s, err := settings.Load(path)
 	if err != nil {
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -16,7 +16,7 @@
 	var config loadgen.Config
 	command := &cobra.Command{
 		Use:   "load",
-		Short: "Send returning chats to a fleet on loopback and judge every answer",
+		Short: "Send multi-turn chats to a fleet on loopback and check every answer",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := loadgen.CheckTargets(config.Targets); err != nil {
@@ -37,11 +37,11 @@
 	flags.StringSliceVar(&config.Targets, "target", []string{"http://127.0.0.1:18080"}, "a router's URL; may be repeated")
 	flags.StringVar(&config.Key, "key", "demo-key", "the tenant's bearer key")
 	flags.StringVar(&config.Model, "model", "demo-model", "the model to ask")
-	flags.Float64Var(&config.Rate, "rate", 50, "turns begun each second")
-	flags.IntVar(&config.Chats, "chats", 100, "chats that take turns")
-	flags.DurationVar(&config.Duration, "duration", 10*time.Second, "how long turns are begun")
-	flags.IntVar(&config.StreamEvery, "stream-every", 2, "stream every so-manieth turn; 0 streams none")
-	flags.IntVar(&config.MaxTokens, "max-tokens", 32, "the length of an answer in tokens")
+	flags.Float64Var(&config.Rate, "rate", 50, "the number of turns started per second")
+	flags.IntVar(&config.Chats, "chats", 100, "the number of chats among which the turns are divided")
+	flags.DurationVar(&config.Duration, "duration", 10*time.Second, "how long new turns are started")
+	flags.IntVar(&config.StreamEvery, "stream-every", 2, "stream one turn in this many; 0 streams none")
+	flags.IntVar(&config.MaxTokens, "max-tokens", 32, "the maximum length of an answer in tokens")
 	return command
 }
 
--- a/internal/cli/report.go
+++ b/internal/cli/report.go
@@ -16,7 +16,7 @@
 	"github.com/harriernotch/harriernotch/internal/slo"
 )
 
-// reportFlags are the command line of harriernotch report slo.
+// reportFlags are the flags of `harriernotch report slo`.
 type reportFlags struct {
 	admins []string
 	goals  slo.Goals
@@ -28,15 +28,15 @@
 	var flags reportFlags
 	burn := &cobra.Command{
 		Use:   "slo",
-		Short: "Show how fast each tenant, pool and priority burns its error budget, and since when",
+		Short: "Show the burn rate of the error budget of each tenant, pool and priority, and since when it burns",
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return reportBurn(cmd.OutOrStdout(), flags) },
 	}
 	f := burn.Flags()
-	f.StringSliceVar(&flags.admins, "admin", []string{"127.0.0.1:17201"}, "routers' admin listeners; name all of them")
+	f.StringSliceVar(&flags.admins, "admin", []string{"127.0.0.1:17201"}, "the routers' admin listeners; list all of them")
 	f.Float64Var(&flags.goals.Fraction, "fraction", 0.95, "the bundle's objectives.fraction")
 	f.Float64Var(&flags.goals.AnsweredWhole, "answered-whole", 0.999, "the bundle's objectives.answered_whole")
-	f.StringVar(&flags.plot, "plot", "", "also draw the fastest burns over time into a PNG file")
+	f.StringVar(&flags.plot, "plot", "", "also plot the highest burn rates over time to this PNG file")
 	command.AddCommand(burn)
 	return command
 }
@@ -92,10 +92,11 @@
 	return table.Flush()
 }
 
-// plottedBurns is how many lines a plot shows.
+// plottedBurns is the maximum number of lines in a plot.
 const plottedBurns = 6
 
-// plotBurn draws the fastest burns, slot by slot.
+// plotBurn plots the first plottedBurns burns of the report, which are the fastest, with one point
+// per time slot.
 func plotBurn(path string, goals slo.Goals, report slo.Report) error {
 	p := plot.New()
 	p.Title.Text = "Burn of the error budget (1 is what the goal allows)"
@@ -109,7 +110,7 @@
 		lines = append(lines, burn.Tenant+" "+burn.Pool+" "+priorityName(burn.Priority), burnPoints(goals, burn))
 	}
 	if err := plotutil.AddLinePoints(p, lines...); err != nil {
-		return errors.Wrap(err, "draw the burns")
+		return errors.Wrap(err, "plot the burn rates")
 	}
 	if err := p.Save(20*vg.Centimeter, 10*vg.Centimeter, path); err != nil {
 		return errors.Wrap(err, "--plot")
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -6,8 +6,8 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// NewToolCommand returns the commands of harriernotch. protocol is that of
-// the platform that gateways run on, for stand-ins.
+// NewToolCommand returns the commands of harriernotch. protocol is the protocol of the
+// platform on which the gateways run; the soak's stand-ins use it.
 func NewToolCommand(protocol wire.Protocol) *cobra.Command {
 	command := &cobra.Command{
 		Use:           "harriernotch",
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -18,7 +18,7 @@
 	"github.com/harriernotch/harriernotch/internal/simulation"
 )
 
-// simulateFlags are the command line of harriernotch simulate.
+// simulateFlags are the flags of `harriernotch simulate`.
 type simulateFlags struct {
 	scenario, size, policy string
 	seed                   uint64
@@ -39,14 +39,14 @@
 		RunE:  func(cmd *cobra.Command, _ []string) error { return runSimulate(cmd.OutOrStdout(), flags) },
 	}
 	f := command.Flags()
-	f.StringVar(&flags.scenario, "scenario", "everything", "the faults")
-	f.StringVar(&flags.size, "size", "small", "the fleet")
-	f.StringVar(&flags.policy, "policy", simulation.Policies()[0].Name, `the choice of back ends; "all" compares`)
+	f.StringVar(&flags.scenario, "scenario", "everything", "the scenario of faults")
+	f.StringVar(&flags.size, "size", "small", "the size of the fleet")
+	f.StringVar(&flags.policy, "policy", simulation.Policies()[0].Name, `the policy that selects back ends; "all" compares all policies`)
 	f.Uint64Var(&flags.seed, "seed", 1, "the first seed")
-	f.IntVar(&flags.seeds, "seeds", 1, "how many seeds to run")
+	f.IntVar(&flags.seeds, "seeds", 1, "the number of seeds to run")
 	f.DurationVar(&flags.duration, "duration", 0, "simulated time after the warm-up (default: the scenario's)")
-	f.DurationVar(&flags.warmup, "warmup", 0, "simulated time before anything is counted (default: the scenario's)")
-	f.StringVar(&flags.breaks, "break", "", "switch one mechanism off; a violation must be found then")
+	f.DurationVar(&flags.warmup, "warmup", 0, "simulated time before the measurement starts (default: the scenario's)")
+	f.StringVar(&flags.breaks, "break", "", "switch off one mechanism; the run is then expected to find a violation")
 	f.StringVar(&flags.output, "output", "table", `"table" or "json"`)
 	f.StringVar(&flags.logPath, "log", "", "write the event log of the last run to a file")
 	return command
@@ -146,7 +146,7 @@
 	return result, file.Close()
 }
 
-// verdict fails if a promise was broken.
+// checkResults returns an error if any run broke a promise.
 func checkResults(results []simulation.Result) error {
 	broken := 0
 	for _, result := range results {
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -18,7 +18,7 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// soakFlags are the command line of harriernotch soak.
+// soakFlags are the flags of `harriernotch soak`.
 type soakFlags struct {
 	options      soak.Options
 	minutes      float64
@@ -33,9 +33,9 @@
 	flags := soakFlags{options: soak.DefaultOptions()}
 	command := &cobra.Command{
 		Use:   "soak",
-		Short: "Run gateways as processes under drawn faults and check every promise",
-		Long: "Starts gateways on loopback between stand-ins of the store, back ends and callers, and strikes them " +
-			"from outside: signals, links, a store and back ends that misbehave, changes of the configuration. " +
+		Short: "Run gateways as processes under random faults and check every promise",
+		Long: "Starts gateways on loopback between stand-ins of the store, back ends and callers, and injects faults " +
+			"from outside: signals, link faults, a store and back ends that misbehave, configuration changes. " +
 			"The exit code is 0 only if no promise was broken.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -45,17 +45,17 @@
 		},
 	}
 	f := command.Flags()
-	f.Uint64Var(&flags.options.Seed, "seed", 1, "the first seed; the same one draws the same faults")
-	f.IntVar(&flags.seeds, "seeds", 1, "how many seeds to run, one after the other")
-	f.Float64Var(&flags.minutes, "minutes", 1, "how long faults strike in each run")
-	f.IntVar(&flags.options.Gateways, "gateways", flags.options.Gateways, "gateways, a process each")
-	f.IntVar(&flags.options.BackEnds, "back-ends", flags.options.BackEnds, "back ends")
+	f.Uint64Var(&flags.options.Seed, "seed", 1, "the first seed; the same seed draws the same faults")
+	f.IntVar(&flags.seeds, "seeds", 1, "the number of seeds to run, one after the other")
+	f.Float64Var(&flags.minutes, "minutes", 1, "how long faults are injected in each run")
+	f.IntVar(&flags.options.Gateways, "gateways", flags.options.Gateways, "the number of gateways, one process each")
+	f.IntVar(&flags.options.BackEnds, "back-ends", flags.options.BackEnds, "the number of back ends")
 	f.IntVar(&flags.options.Callers, "callers", flags.options.Callers, "callers")
-	f.StringSliceVar(&flags.kinds, "kinds", nil, "draw these kinds of faults alone, such as "+string(soak.EvacuateZone)+" (default: all)")
-	f.StringSliceVar(&flags.options.Disable, "break", nil, "switch mechanisms of the gateways off; a violation must be found then")
+	f.StringSliceVar(&flags.kinds, "kinds", nil, "draw only these kinds of faults, such as "+string(soak.EvacuateZone)+" (default: all)")
+	f.StringSliceVar(&flags.options.Disable, "break", nil, "switch off mechanisms of the gateways; the run is then expected to find a violation")
 	f.StringVar(&flags.program, "program", "bin/harriernotchd", "the gateways' program")
-	f.StringVar(&flags.olderProgram, "older", "", "another build of the program, which runs by turns with it: an upgrade and its way back")
-	f.StringVar(&flags.directory, "folder", "", "where settings and logs are kept (default: a temporary folder, removed when nothing was broken)")
+	f.StringVar(&flags.olderProgram, "older", "", "another build of the program that alternates with it, as in an upgrade and its rollback")
+	f.StringVar(&flags.directory, "folder", "", "the folder for settings and logs (default: a temporary folder, removed if no promise was broken)")
 	return command
 }
 
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// withoutMoves takes away the moves to other versions: an older build may know no setting for
-// them, and doesn't start with one that it doesn't know.
+// withoutRollouts removes the kind of fault that moves a service to another version. An older
+// build may not have the settings for it, and doesn't start with unknown settings.
 func withoutRollouts(kinds []soak.Kind) []soak.Kind {
 	if len(kinds) == 0 {
 		kinds = soak.Kinds()
@@ -108,7 +108,7 @@
 	return slices.DeleteFunc(kinds, func(kind soak.Kind) bool { return kind == soak.MoveService })
 }
 
-// soakOnce plays one seed and prints what it found.
+// runSoakSeed runs the soak for one seed and prints the result.
 func runSoakSeed(ctx context.Context, output io.Writer, protocol wire.Protocol, flags soakFlags) (soak.Result, error) {
 	folder := flags.directory
 	if folder == "" {
@@ -133,7 +133,7 @@
 		return result, err
 	}
 	if len(result.Violations) == 0 && flags.directory == "" {
-		_ = os.RemoveAll(folder) // a leftover folder does no harm
+		_ = os.RemoveAll(folder) // a folder that remains does no harm
 	}
 	return result, printSoak(output, result, folder)
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -12,14 +12,14 @@
 	"github.com/harriernotch/harriernotch/internal/standin"
 )
 
-// newStandInCommand runs one stand-in, so that a fleet of separate processes
-// can be tried without the outside systems.
+// newStandInCommand returns the command that runs one stand-in, so that a fleet of
+// separate processes can be tried without the external systems.
 func newStandInCommand() *cobra.Command {
 	var listen string
 	var models []string
 	command := &cobra.Command{
 		Use:       "standin platform|engine|service",
-		Short:     "Run one stand-in for an outside system, for trials",
+		Short:     "Run one stand-in for an external system, for trials",
 		Args:      cobra.MatchAll(cobra.ExactArgs(1), cobra.OnlyValidArgs),
 		ValidArgs: []string{"platform", "engine", "service"},
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -27,7 +27,7 @@
 		},
 	}
 	command.Flags().StringVar(&listen, "listen", "127.0.0.1:0", "the address to serve on")
-	command.Flags().StringSliceVar(&models, "model", []string{"demo-model"}, "a model that the engine serves")
+	command.Flags().StringSliceVar(&models, "model", []string{"demo-model"}, "a model that the engine serves; may be repeated")
 	return command
 }
 
@@ -45,7 +45,7 @@
 func serveStandIn(cmd *cobra.Command, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return errors.Wrap(err, "--listen can't be opened; choose another address")
+		return errors.Wrap(err, "can't open the address of --listen; choose another one")
 	}
 	if _, err := fmt.Fprintf(cmd.OutOrStdout(), "listening on %s\n", listener.Addr()); err != nil {
 		return err
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -17,10 +17,10 @@
 	"github.com/harriernotch/harriernotch/internal/gateway"
 )
 
-// adminTimeout bounds a call to a node's admin listener.
+// adminTimeout is the timeout of a request to a node's admin listener.
 const adminTimeout = 5 * time.Second
 
-// Forms in which the status is shown.
+// Values of the flag --output.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
@@ -50,12 +50,12 @@
 	return command
 }
 
-// getJSON reads a node's admin page.
+// getJSON gets a page of a node's admin listener and decodes it into target.
 func getJSON(url string, target any) error {
 	client := &http.Client{Timeout: adminTimeout}
 	response, err := client.Get(url)
 	if err != nil {
-		return failure.Wrap(failure.BackendUnreachable, err, "--admin names no listener that answers; see listen.admin in the node's settings")
+		return failure.Wrap(failure.BackendUnreachable, err, "no admin listener answers at the address of --admin; see listen.admin in the node's settings")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// showStatus shows the status of a node of any role.
+// showStatus prints the status of a node of any role.
 func showStatus(output io.Writer, raw json.RawMessage, format string) error {
 	if format == outputJSON {
 		encoder := json.NewEncoder(output)
@@ -168,7 +168,7 @@
 	}
 }
 
-// printRollout tells how far a service's move to another version has come, by which evidence.
+// printRollout prints the progress of a service's rollout and the evidence for its state.
 func printRollout(output io.Writer, rollout gateway.RolloutStatus) error {
 	state := rollout.State
 	if rollout.Abandoned {
--- a/internal/daemon/notice_test.go
+++ b/internal/daemon/backend_headers_test.go
@@ -12,7 +12,7 @@
 	"github.com/harriernotch/harriernotch/internal/hop"
 )
 
-// countingBackEnd answers as it is told to, and counts what it gets.
+// countingBackEnd answers with a replaceable handler and counts the requests that it receives.
 type countingBackEnd struct {
 	received atomic.Int64
 	handler  atomic.Pointer[http.HandlerFunc]
@@ -25,7 +25,7 @@
 
 func (b *countingBackEnd) setHandler(answer http.HandlerFunc) { b.handler.Store(&answer) }
 
-// replaceService puts a counting back end in the place of a service's.
+// replaceService replaces the back end of a service's agent by a counting one.
 func (f *fleet) replaceService(id string, answer http.HandlerFunc) *countingBackEnd {
 	backEnd := &countingBackEnd{}
 	backEnd.setHandler(answer)
@@ -34,8 +34,8 @@
 	return backEnd
 }
 
-// loadService sends requests to the plain service for a while, and returns how many got which
-// status.
+// callServiceFor sends requests to the plain service for the given time and returns the number of
+// answers by status; status 0 stands for calls without an answer.
 func (f *fleet) callServiceFor(span time.Duration) map[int]int {
 	statuses := map[int]int{}
 	for until := time.Now().Add(span); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
@@ -55,7 +55,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// An agent went on sending to a back end that had asked for three seconds of rest.
+// An agent must send nothing to a back end that answered 503 with Retry-After until that time has
+// passed.
 func TestAgentLeavesABackEndAloneThatAsksForRest(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.NewRelaxed(f.t)
@@ -65,7 +66,7 @@
 		is.True(before >= 1)
 		statuses := f.callServiceFor(2 * time.Second)
 		is.Equal(resting.received.Load(), before)
-		is.Equal(len(statuses), 1) // the other back end serves them all
+		is.Equal(len(statuses), 1) // the other back end serves all requests
 		is.True(statuses[http.StatusOK] > 0)
 		resting.setHandler(answerHello)
 		f.advance(time.Second)
@@ -74,7 +75,7 @@
 	})
 }
 
-// An agent went on sending to a back end whose answers said that it leaves.
+// An agent must send no new requests to a back end whose answers carry the header X-Leaving.
 func TestAgentOfLeavingBackEndGetsNoNewRequests(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.NewRelaxed(f.t)
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -24,8 +24,8 @@
 	"github.com/harriernotch/harriernotch/internal/standin"
 )
 
-// benchFleet is one router, one agent and a back end that answers at once, over
-// TCP on loopback.
+// benchFleet is one router, one agent and one back end, connected by TCP on loopback. It
+// holds the base URLs of the router and of the back end.
 type benchFleet struct {
 	router, backEnd string
 }
@@ -83,7 +83,7 @@
 	return node
 }
 
-// processorTime returns the processor time that this process has used.
+// processorTime returns the CPU time that this process has used.
 func processorTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -114,9 +114,9 @@
 	return err
 }
 
-// measure runs the work and reports processor time and allocations for each of
-// the units, for the whole process: client, nodes and back end together. What
-// the two hops add is the difference to the direct case.
+// measure runs work and reports the CPU time and the allocations of the whole process
+// per unit: client, nodes and back end together. The cost of the two hops is the
+// difference from the direct case.
 func measure(b *testing.B, unit string, units int, work func()) {
 	runtime.GC()
 	var before, after runtime.MemStats
@@ -131,7 +131,8 @@
 
 const benchWorkers = 16
 
-// runEach runs a case against the back end itself and through the two hops.
+// runAllPaths runs a benchmark against the back end directly, and through router and
+// agent with each hop protocol.
 func runAllPaths(b *testing.B, handler http.Handler, run func(b *testing.B, url string)) {
 	b.Run("direct", func(b *testing.B) {
 		run(b, startBenchFleet(b, hop.HTTP1, handler).backEnd)
@@ -143,7 +144,7 @@
 	}
 }
 
-// BenchmarkRequest measures plain chats. Compare direct with the two protocols.
+// BenchmarkRequest measures chats that aren't streamed.
 func BenchmarkRequest(b *testing.B) {
 	answer := bytes.Repeat([]byte("x"), 400)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -170,8 +171,8 @@
 	runAllPaths(b, handler, run)
 }
 
-// BenchmarkEvent measures streamed events, paced as an engine would, so that
-// they are not passed on together more than they would be in service.
+// BenchmarkEvent measures streamed events. They are paced as by an engine, so that
+// they aren't batched more than they would be in production.
 func BenchmarkEvent(b *testing.B) {
 	const streams, events = 256, 200
 	event := []byte(`data: {"id":"chatcmpl-1","choices":[{"index":0,"delta":{"content":" word"}}]}` + "\n\n")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon assembles one node from its settings and runs it: listeners,
-// control plane, ticks, admin and drain.
+// Package daemon builds one node from its settings and runs it: a router or agent
+// with its control plane (Node), or a gateway (Gateway). It owns the listeners, the
+// admin endpoints, the periodic work and the drain at a stop.
 package daemon
 
 import (
@@ -29,20 +30,21 @@
 	"github.com/harriernotch/harriernotch/internal/telemetry"
 )
 
-// Environment is what a node takes from its surroundings. Tests and the demo
-// replace parts of it.
+// Environment holds a node's external dependencies. Tests and the demo replace some
+// of them.
 type Environment struct {
-	// Listen opens listeners; nil uses net.Listen.
+	// Listen opens listeners; nil means net.Listen.
 	Listen func(network, address string) (net.Listener, error)
-	// Dial opens connections; nil uses TCP.
+	// Dial opens connections; nil means TCP.
 	Dial hop.DialFunc
-	// Platform replaces the client that the settings name.
+	// Platform is the client of the platform; nil means one for the URL in the
+	// settings, if they have one.
 	Platform objectstore.Client
 	// Log is the node's logger.
 	Log logrus.FieldLogger
 }
 
-// role is what the two roles' servers have in common.
+// role is the common interface of the router's and the agent's HTTP server.
 type role interface {
 	http.Handler
 	Deliver(coordination.Event)
@@ -52,7 +54,7 @@
 	Drain()
 }
 
-// Node is one running node.
+// Node is a running router or agent.
 type Node struct {
 	settings   *settings.Settings
 	log        logrus.FieldLogger
@@ -71,7 +73,7 @@
 	stopTicks context.CancelFunc
 }
 
-// Start opens the listeners and begins to serve.
+// Start opens the listeners and starts the node.
 func Start(s *settings.Settings, environment Environment) (*Node, error) {
 	if environment.Listen == nil {
 		environment.Listen = net.Listen
@@ -111,7 +113,8 @@
 	return nil
 }
 
-// assemble builds the role's core and shell and joins them to the control plane.
+// assemble builds the state machine and the HTTP server of the node's role and
+// connects them to the control plane.
 func (n *Node) assemble(environment Environment) {
 	credential := hop.NewCredential(n.settings.ClusterKeyBytes())
 	trusted := n.settings.PublicKeys()
@@ -126,7 +129,7 @@
 	} else {
 		config := agent.DefaultConfig(n.settings.Identity())
 		n.period = config.Coordination.TickPeriod
-		// Back ends speak HTTP/1.1, whatever the hop between nodes does.
+		// Back ends speak HTTP/1.1; hop_protocol applies only between nodes.
 		transport = hop.NewTransport(hop.TransportConfig{Protocol: hop.HTTP1, Dial: environment.Dial})
 		n.assembleAgent(agent.New(config, open, acceptor, now), credential, transport)
 	}
@@ -183,7 +186,7 @@
 	}
 }
 
-// serve starts the servers and the ticks.
+// serve starts the HTTP servers and the periodic ticks.
 func (n *Node) serve() {
 	if n.callers != nil {
 		n.serveOn(n.callers, n.role)
@@ -197,7 +200,7 @@
 	n.tasks.Go(func() { n.tick(ctx) })
 }
 
-// readHeaderTimeout bounds how long a client may take to send its headers.
+// readHeaderTimeout is the time within which a client must send its request headers.
 const readHeaderTimeout = 10 * time.Second
 
 func (n *Node) serveOn(listener net.Listener, handler http.Handler) {
@@ -213,13 +216,13 @@
 	n.servers = append(n.servers, server)
 	n.tasks.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			n.log.WithError(err).Error("a listener failed")
+			n.log.WithError(err).Error("listener failed")
 		}
 	})
 }
 
-// peerHandler takes control connections; a router has no other use for its peer
-// listener.
+// peerHandler accepts control connections. A router's peer listener serves nothing
+// else.
 func (n *Node) peerHandler() http.Handler {
 	credential := hop.NewCredential(n.settings.ClusterKeyBytes())
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -276,7 +279,7 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// CallersAddress returns the address that callers use, or "" for an agent.
+// CallersAddress returns the address of the callers' listener, or "" for an agent.
 func (n *Node) CallersAddress() string {
 	if n.callers == nil {
 		return ""
@@ -287,11 +290,12 @@
 // AdminAddress returns the address of the admin listener.
 func (n *Node) AdminAddress() string { return n.admin.Addr().String() }
 
-// Ready tells whether the node takes work.
+// Ready reports whether the node accepts new work.
 func (n *Node) Ready() bool { return n.role.Ready() }
 
-// Stop drains the node: readiness fails at once, work in flight ends whole, and
-// only then the node stops. The context bounds the wait.
+// Stop drains the node and stops it. Readiness fails at once, a router accepts
+// requests for drain_delay longer, and requests in flight may complete before the
+// node stops. When ctx ends, the remaining requests are cut off.
 func (n *Node) Stop(ctx context.Context) {
 	n.log.Info("draining")
 	n.role.Drain()
@@ -306,8 +310,8 @@
 	n.log.Info("stopped")
 }
 
-// awaitBalancer goes on serving until the balancer has seen the failed
-// readiness.
+// waitDrainDelay keeps the node serving for drain_delay, so that the load balancer
+// notices the failed readiness check. It returns early when ctx ends.
 func (n *Node) waitDrainDelay(ctx context.Context) {
 	timer := time.NewTimer(n.settings.DrainDelay.Std())
 	defer timer.Stop()
@@ -317,18 +321,18 @@
 	}
 }
 
-// shutdown closes the listeners and waits for requests in flight. The admin
-// server goes last, so that the drain can be watched.
+// shutdown closes the listeners and waits for requests in flight. The admin server
+// is the last one, so that operators can observe the drain.
 func (n *Node) shutdown(ctx context.Context) {
 	for _, server := range n.servers {
 		if err := server.Shutdown(ctx); err != nil {
-			n.log.WithError(err).Warn("work in flight was cut off at the end of drain_timeout")
+			n.log.WithError(err).Warn("drain_timeout expired; requests in flight were cut off")
 			_ = server.Close()
 		}
 	}
 }
 
-// Kill ends the node at once, as a crash would; for tests.
+// Kill stops the node without a drain, like a crash. It is for tests and benchmarks.
 func (n *Node) Kill() {
 	n.stopTicks()
 	for _, server := range n.servers {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -36,7 +36,7 @@
 					is.NoErr(err)
 					is.Equal(second.header.Get("Harriernotch-Back-End"), first.header.Get("Harriernotch-Back-End"))
 					is.True(strings.Contains(first.body, `"cached_tokens":0`))
-					is.True(!strings.Contains(second.body, `"cached_tokens":0`)) // the context was reused
+					is.True(!strings.Contains(second.body, `"cached_tokens":0`)) // the cached context was used
 				})
 			})
 		}
@@ -58,7 +58,7 @@
 	})
 }
 
-// load sums the loads that the engines' agents report of themselves.
+// load returns the sum of the loads that the engines' agents report for themselves.
 func (f *fleet) load() int {
 	total := 0
 	for _, id := range []string{"engine-1", "engine-2"} {
@@ -86,8 +86,8 @@
 		response, err := f.client.Do(request)
 		is.NoErr(err)
 		defer response.Body.Close()
-		f.advance(20 * time.Minute) // ten times what the stream would take
-		is.Equal(f.load(), 1)       // it still runs: nobody reads
+		f.advance(20 * time.Minute) // about six times what the stream would take
+		is.Equal(f.load(), 1)       // the stream still runs, because the caller doesn't read
 	})
 }
 
@@ -112,13 +112,15 @@
 		wait.Wait()
 		is.Equal(counts["unclear"], 0)
 		is.True(counts["whole"] > 40)
-		is.True(counts["broken"]+counts["unknown"] > 0) // the kill did hit somebody
+		is.True(counts["broken"]+counts["unknown"] > 0) // the kill affected some calls
 		f.t.Logf("%v", counts)
 	})
 }
 
-// judge sorts what a caller saw: a whole and own answer, a visible break, or an
-// error that says whether the request ran.
+// classify returns what a caller saw: "whole" for the complete answer to its own
+// request, "broken" for a visibly truncated answer, the value of the header
+// failure.HeaderRan for an error that has it, and "unclear" for everything else,
+// which is a fault.
 func classify(got answer, err error, text string) string {
 	if err != nil {
 		return "unclear"
@@ -182,9 +184,9 @@
 	}
 }
 
-// newKey returns a UUID of version 7 from the bubble's clock. uuid.NewV7 won't
-// do: it never goes back behind the latest time it has seen, and every bubble
-// begins at the same moment again.
+// newIdempotencyKey returns a version 7 UUID from the clock of the synctest bubble.
+// uuid.NewV7 isn't usable: its time never goes back, but every bubble starts at the
+// same time.
 func newIdempotencyKey() string {
 	var key uuid.UUID
 	millis := time.Now().UnixMilli()
@@ -239,8 +241,8 @@
 	})
 }
 
-// TestCutStreamIsNeverReplayedAsWhole lets an engine end keyed streams without
-// their closing event: a repeat must hear that the outcome is unknown.
+// An engine ends keyed streams without their closing event. A call that repeats the
+// key must get the error that the outcome is unknown, not the truncated stream.
 func TestTruncatedStreamIsNeverReplayedAsComplete(t *testing.T) {
 	inFleet(t, hop.HTTP1, func(f *fleet) {
 		is := is.New(f.t)
@@ -255,7 +257,7 @@
 		c := chat{text: "verdict", stream: true, header: http.Header{"Idempotency-Key": {newIdempotencyKey()}, "Harriernotch-Repeatable": {"no"}}}
 		first, err := f.chat(c)
 		is.NoErr(err)
-		is.True(first.readErr != nil) // visibly broken
+		is.True(first.readErr != nil) // the caller sees that the answer is truncated
 		c.router = "router-2"
 		again, err := f.chat(c)
 		is.NoErr(err)
@@ -281,7 +283,7 @@
 		is.NoErr(err)
 		is.Equal(again.header.Get(failure.HeaderKind), failure.OutcomeUnknown.String())
 		is.Equal(again.header.Get(failure.HeaderRan), string(failure.RanUnknown))
-		time.Sleep(time.Millisecond) // another key
+		time.Sleep(time.Millisecond) // the next key is a different one
 		fresh, err := f.call(f.t.Context(), http.MethodPost, "router-2", "/loans/letters", "plan", http.Header{"Idempotency-Key": {newIdempotencyKey()}})
 		is.NoErr(err)
 		is.Equal(fresh.status, http.StatusOK)
@@ -356,7 +358,7 @@
 		is.Equal(f.bundleCounts(), map[uint64]int{3: 6})
 		f.kill("engine-2")
 		f.kill("router-2")
-		f.start("engine-2") // the platform is still down: they learn from peers
+		f.start("engine-2") // the platform is still down: they get the bundle from peers
 		f.start("router-2")
 		f.advance(17 * time.Second)
 		is.Equal(f.bundleCounts(), map[uint64]int{3: 6})
@@ -377,6 +379,6 @@
 		is.Equal(time.Since(started).Round(time.Second), 3*time.Second)
 		is.Equal(got.header.Get(failure.HeaderKind), failure.BackendFailed.String())
 		is.Equal(got.header.Get(failure.HeaderRan), string(failure.RanUnknown))
-		f.advance(2 * time.Minute) // the plain service ends its call
+		f.advance(2 * time.Minute) // until the plain service has completed the call
 	})
 }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -33,8 +33,8 @@
 
 func publicKey() ed25519.PublicKey { return signingKey.Public().(ed25519.PublicKey) }
 
-// fleet is two routers, two engines and two plain services with their agents,
-// as whole nodes on an in-memory network.
+// fleet is two routers, and two engines and two plain services with their agents.
+// The routers and agents are complete nodes on an in-memory network.
 type fleet struct {
 	t        *testing.T
 	network  *pipenet.Network
@@ -46,7 +46,8 @@
 	protocol hop.Protocol
 }
 
-// inFleet runs the test in a bubble with a ready fleet and ends the fleet.
+// inFleet starts a fleet in a synctest bubble, waits until it is ready, runs the test
+// and kills the fleet.
 func inFleet(t *testing.T, protocol hop.Protocol, test func(f *fleet)) {
 	t.Helper()
 	bubble.Test(t, func(t *testing.T) {
@@ -78,7 +79,7 @@
 	})
 }
 
-// document is the fleet's bundle; extra is added to the engine pool.
+// bundleText returns the fleet's bundle document; extra is added to the engine pool.
 func (f *fleet) bundleText(extra string) string {
 	text := "format = 1\n[[tenants]]\nname = \"school\"\nkey_sha256 = [\"" + bundle.HashKey(tenantKey) + "\"]\n"
 	text += "[[pools]]\nname = \"model\"\nkind = \"engine\"\nmodels = [\"m\"]\nload_multiple = 2.0\n" + extra
@@ -91,7 +92,7 @@
 	return fmt.Sprintf("[[pools.back_ends]]\nid = %q\nagent = %q\nzone = \"a\"\n", id, addressOf(id, "peers"))
 }
 
-// addressOf gives every listener an address of its own.
+// addressOf returns the address of a listener; each has its own.
 func addressOf(id, listener string) string {
 	names := map[string]int{"router-1": 1, "router-2": 2, "engine-1": 3, "engine-2": 4, "service-1": 5, "service-2": 6}
 	ports := map[string]int{"callers": 1, "peers": 2, "admin": 3, "back-end": 4}
@@ -149,7 +150,7 @@
 	f.nodes[id] = node
 }
 
-// settle lets virtual time pass.
+// advance lets virtual time pass and waits until all goroutines are blocked.
 func (f *fleet) advance(span time.Duration) {
 	time.Sleep(span)
 	synctest.Wait()
@@ -168,7 +169,7 @@
 	f.advance(time.Second) // the server closes a refused upload after a pause
 }
 
-// chat is one turn of a chat.
+// chat is a request for one turn of a chat.
 type chat struct {
 	router string
 	text   string
@@ -179,7 +180,7 @@
 	ctx    context.Context
 }
 
-// answer is what a caller saw.
+// answer is what a caller received; readErr is the error of reading the body.
 type answer struct {
 	status  int
 	header  http.Header
@@ -223,8 +224,8 @@
 	return f.call(c.ctx, http.MethodPost, c.router, "/v1/chat/completions", body, header)
 }
 
-// text returns the answer's words, whether it was streamed or not; ok is false
-// when the answer isn't whole.
+// text returns the text of a plain or streamed answer. ok is false if the answer is
+// incomplete.
 func (a answer) text() (words string, ok bool) {
 	type choice struct {
 		Message *struct{ Content string } `json:"message"`
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -27,30 +27,31 @@
 	"github.com/harriernotch/harriernotch/internal/telemetry"
 )
 
-// Adapter joins a gateway to the platform that it runs on.
+// Adapter connects a gateway to the platform on which it runs.
 type Adapter interface {
-	// Dialect returns the headers of the platform's callers and back ends.
+	// Dialect returns the platform's conventions for the headers of callers and back ends.
 	Dialect() gateway.Dialect
-	// Source returns the platform's store at the base URL. unreadable is told of objects
-	// that can't be used.
+	// Source returns a client of the platform's store at the base URL. It calls unreadable
+	// for each object that can't be used.
 	Source(url string, transport http.RoundTripper, unreadable func(catalog.Unreadable)) follower.Source
 }
 
-// GatewayEnvironment is what a gateway takes from its surroundings.
+// GatewayEnvironment holds a gateway's external dependencies.
 type GatewayEnvironment struct {
-	// Adapter joins the gateway to the platform.
+	// Adapter connects the gateway to the platform.
 	Adapter Adapter
-	// Listen opens listeners; nil uses net.Listen.
+	// Listen opens listeners; nil means net.Listen.
 	Listen func(network, address string) (net.Listener, error)
-	// Dial opens connections; nil uses TCP.
+	// Dial opens connections; nil means TCP.
 	Dial hop.DialFunc
-	// Clock tells ages, across suspensions of the machine; nil is the monotonic one.
+	// Clock measures ages and includes the time for which the machine was suspended; nil
+	// means the monotonic clock.
 	Clock *clock.Clock
-	// Log takes the gateway's decisions.
+	// Log receives the gateway's events.
 	Log *eventlog.Log
 }
 
-// Gateway is one running gateway.
+// Gateway is a running gateway.
 type Gateway struct {
 	settings      *settings.Settings
 	log           *eventlog.Log
@@ -60,33 +61,40 @@
 	relay         *relay.Relay
 	loadCollector *collect.Service
 
-	callers *http.Server
-	// connections are those of callers.
+	// callers is the server for callers, and connections tracks its connections.
+	// otherServers are those for peers, the admin endpoints and metrics.
+	callers      *http.Server
 	connections  *draining.Connections
 	otherServers []*http.Server
 	tasks        conc.WaitGroup
-	// reporting is closed to end the reports of gauges.
+	// done is closed to stop the goroutines that report gauges and measure lag.
 	done chan struct{}
-	// transports are closed with the gateway.
+	// transports are the transports whose idle connections are closed when the gateway
+	// stops.
 	transports []*http.Transport
 }
 
 const (
-	// lapseTenths is the part of the bound on leaving, in tenths, for which lapsed
-	// back ends are used; the rest is for news that travels.
+	// lapseTimeTenths is dispatch.Config.LapseTime in tenths of leaving_bound. The rest of
+	// leaving_bound is for the propagation of updates through the fleet.
 	lapseTimeTenths = 7
-	// longestLapse is how long after the store's return a back end that lives is
-	// listed again.
+	// maxLapseTime limits LapseTime, however long leaving_bound is. A store that recovers lists
+	// a back end that is alive again with one of its next heartbeats, and this is the time
+	// allowed for them: a back end that is still missing after it is considered gone.
 	maxLapseTime = 2 * time.Second
-	// callerIdleTimeout is how long a caller's connection may rest.
+	// callerIdleTimeout is how long a caller's connection may stay idle.
 	callerIdleTimeout = 60 * time.Second
-	// callerHeaderTimeout bounds a caller's headers.
+	// gatewayHeaderTimeout is the time within which a client of any of the gateway's
+	// listeners must send its request headers.
 	gatewayHeaderTimeout = 5 * time.Second
-	// killMargin is how long before the platform's kill a stop ends.
+	// killMargin is how much earlier than drain_timeout a stopping gateway cuts off the requests
+	// that remain. The platform is expected to kill a process that still runs drain_timeout after
+	// it was told to stop, and the gateway needs the margin to close its connections and to write
+	// its last log lines before that.
 	killMargin = 400 * time.Millisecond
 )
 
-// StartGateway opens the listeners and begins to serve.
+// StartGateway opens the listeners and starts the gateway.
 func StartGateway(s *settings.Settings, environment GatewayEnvironment) (*Gateway, error) {
 	if environment.Listen == nil {
 		environment.Listen = net.Listen
@@ -133,7 +141,8 @@
 	return g, nil
 }
 
-// serve opens the three listeners.
+// serve opens the listeners and starts the gateway's servers and its exchange with other
+// gateways.
 func (g *Gateway) serve(environment GatewayEnvironment) error {
 	listeners := map[string]net.Listener{}
 	for field, address := range map[string]string{
@@ -188,10 +197,11 @@
 	return nil
 }
 
-// hundredths is the unit in which gateways tell each other their processor shares.
+// capacityPerCore converts processor shares to the capacities that gateways announce to each
+// other, which are in hundredths of a core.
 const capacityPerCore = 100
 
-// loadSource is what the collection of loads knows of this gateway.
+// collectSource implements collect.Source with the gateway's state and relay.
 type collectSource struct {
 	*gateway.State
 	relay *relay.Relay
@@ -207,15 +217,15 @@
 	return gateways, relay.IsLarge(len(gateways))
 }
 
-// transport returns a transport that ends with the gateway.
+// newTransport returns a transport whose idle connections are closed when the gateway stops.
 func (g *Gateway) newTransport(environment GatewayEnvironment, reuse bool) *http.Transport {
 	transport := hop.NewDirectTransport(environment.Dial, reuse)
 	g.transports = append(g.transports, transport)
 	return transport
 }
 
-// serveMetrics opens the listener for metrics alone, where the settings name one.
-// Requests are worth more than figures on them: without it, the gateway serves.
+// serveMetrics opens the listener that serves only metrics, if the settings have one. Serving
+// requests matters more than metrics, so if it can't be opened, the gateway starts without it.
 func (g *Gateway) serveMetrics(environment GatewayEnvironment) {
 	if g.settings.Listen.Metrics == "" {
 		return
@@ -232,9 +242,11 @@
 	g.runServer(server, listener)
 }
 
-// gaugePeriod is the time between two reports of what the gateway knows.
+// gaugePeriod is the time between two updates of the gauges.
 const gaugePeriod = time.Second
 
+// reportGauges updates the gauges every gaugePeriod. It also logs when the machine has been
+// suspended.
 func (g *Gateway) reportGauges(metrics *gateway.Metrics) {
 	suspended := time.Duration(0)
 	ticker := time.NewTicker(gaugePeriod)
@@ -260,7 +272,7 @@
 func (g *Gateway) runServer(server *http.Server, listener net.Listener) {
 	g.tasks.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			g.log.Entry().WithError(err).Error("a listener failed")
+			g.log.Entry().WithError(err).Error("listener failed")
 		}
 	})
 }
@@ -282,13 +294,14 @@
 	})
 }
 
-// hasOtherSeeds tells whether the settings name gateways to meet first, and this one isn't among
-// them: those read the platform's store at once.
+// seedsExcludeSelf reports whether the settings list seeds and this gateway isn't one of them.
+// At a first start the seeds read the platform's store at once. The other gateways first wait for
+// the seeds' updates, and read all lists of the store only if these don't arrive in time.
 func (g *Gateway) seedsExcludeSelf() bool {
 	return len(g.settings.Seeds) > 0 && !slices.Contains(g.settings.Seeds, g.settings.Listen.Peers)
 }
 
-// noteUnreadable counts objects of the store that can't be used, each revision once.
+// countUnreadable counts objects of the store that can't be used, once per revision.
 func (g *Gateway) countUnreadable(object catalog.Unreadable) {
 	if g.state.NoteUnreadable(object) {
 		labels := map[string]string{"kind": string(object.Kind), "reason": string(object.Reason)}
@@ -312,7 +325,8 @@
 	return mux
 }
 
-// releaseWithheld answers an operator who releases the requests of a content.
+// releaseWithheld serves an operator's command to release the withheld requests with a
+// fingerprint.
 func (g *Gateway) releaseWithheld(w http.ResponseWriter, r *http.Request) {
 	fingerprint, err := dispatch.ParseFingerprint(r.PathValue("fingerprint"))
 	if err != nil {
@@ -326,18 +340,18 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Ready tells whether the gateway takes work.
+// Ready reports whether the gateway accepts new requests.
 func (g *Gateway) Ready() bool { return g.state.Ready() }
 
-// Reload takes the settings that may change while the gateway runs: the seeds.
+// Reload applies the settings that can change while the gateway runs: the seeds.
 func (g *Gateway) Reload(s *settings.Settings) {
 	g.relay.SetSeeds(s.Seeds)
 	g.log.Urgent(eventlog.Reloaded, logrus.Fields{"seeds": len(s.Seeds)})
 }
 
-// Stop drains the gateway: readiness fails at once, callers that still come are
-// served until the balancer has noticed, work in flight ends whole. The context
-// bounds the wait.
+// Stop drains the gateway and stops it. Readiness fails at once, new requests are accepted for
+// drain_delay longer, so that the load balancer can notice, and requests in flight may complete.
+// When ctx ends, the remaining requests are cut off; see DrainTimeout.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.log.Urgent(eventlog.Stopping, logrus.Fields{"drain_delay": g.settings.DrainDelay.Std().String()})
 	g.state.Drain()
@@ -345,7 +359,7 @@
 	<-delay.Done()
 	cancel()
 	if err := g.connections.Shutdown(ctx, g.callers); err != nil {
-		g.log.Entry().WithError(err).Warn("work in flight was cut off at the end of drain_timeout")
+		g.log.Entry().WithError(err).Warn("drain_timeout expired; requests in flight were cut off")
 		_ = g.callers.Close()
 		g.connections.Close()
 	}
@@ -364,5 +378,6 @@
 	g.log.Urgent(eventlog.Stopped, nil)
 }
 
-// DrainTimeout is how long a stop may take.
+// DrainTimeout returns how long Stop may wait for requests in flight, including drain_delay. It is
+// killMargin less than drain_timeout.
 func (g *Gateway) DrainTimeout() time.Duration { return g.settings.DrainTimeout.Std() - killMargin }
--- a/internal/daemon/serverlog.go
+++ b/internal/daemon/serverlog.go
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// serverLog passes the HTTP server's own complaints to the node's log.
+// serverLog writes the HTTP server's own error messages to the node's log at debug level.
 type serverLog struct{ log logrus.FieldLogger }
 
 // Write implements io.Writer.
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -7,21 +7,22 @@
 	"github.com/harriernotch/harriernotch/internal/membership"
 )
 
-// Status is a node's view of the fleet, as its admin listener shows it.
+// Status is a node's view of the fleet, served by its admin listener at /status.
 type Status struct {
-	// Node is the answering node, Role its role and Ready its readiness.
+	// Node is the ID of the answering node, Role its role, and Ready whether it accepts
+	// new work.
 	Node  string `json:"node"`
 	Role  string `json:"role"`
 	Ready bool   `json:"ready"`
-	// Bundle is the number in force, Note the operator's remark.
+	// Bundle is the number of the bundle in force, and Note the operator's note in it.
 	Bundle uint64 `json:"bundle"`
 	Note   string `json:"note,omitempty"`
-	// ConfirmedSeconds is how long ago the bundle was known to be the newest;
-	// -1 when never.
+	// ConfirmedSeconds is the time since the bundle was last confirmed to be the newest;
+	// -1 if it never was.
 	ConfirmedSeconds float64 `json:"confirmed_seconds"`
 	// Links is the number of control connections.
 	Links int `json:"links"`
-	// Routers are the routers known, this one included.
+	// Routers are the known routers, including the node itself if it is one.
 	Routers []NodeStatus `json:"routers"`
 	// Pools are the bundle's pools.
 	Pools []PoolStatus `json:"pools"`
@@ -29,26 +30,27 @@
 
 // PoolStatus is a pool with its members.
 type PoolStatus struct {
-	Name    string       `json:"name"`
-	Kind    string       `json:"kind"`
+	Name string `json:"name"`
+	Kind string `json:"kind"`
+	// Mean is the mean load of the members that are serving.
 	Mean    float64      `json:"mean_load"`
 	Members []NodeStatus `json:"members"`
 }
 
-// NodeStatus is what the answering node knows of another.
+// NodeStatus is what the answering node knows about a node.
 type NodeStatus struct {
 	ID string `json:"id"`
 	// Health is serving, flapping, doubtful, leaving or unknown.
 	Health string `json:"health"`
 	Zone   string `json:"zone,omitempty"`
-	// Bundle is the number that the node had in force.
+	// Bundle is the number of the bundle that the node had in force, and Load its load.
 	Bundle uint64 `json:"bundle"`
 	Load   uint32 `json:"load"`
-	// AgeSeconds is how old this knowledge is.
+	// AgeSeconds is the age of this information.
 	AgeSeconds float64 `json:"age_seconds"`
 }
 
-// statusOf reads a node's view.
+// statusOf returns the status of a node as seen by itself.
 func statusOf(now time.Time, node *coordination.Node, ready bool) Status {
 	self := node.Table().Self()
 	status := Status{Node: self.ID, Role: roleName(self.Role), Ready: ready, ConfirmedSeconds: -1, Links: node.Links()}
@@ -90,7 +92,7 @@
 	return status
 }
 
-// Words for a node's health.
+// Values of NodeStatus.Health.
 const (
 	healthServing  = "serving"
 	healthFlapping = "flapping"
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -11,78 +11,87 @@
 
 // Gateway tunes a gateway.
 type Gateway struct {
-	// RetryRatio and RetryExtra bound the further attempts that all gateways make
-	// for one service in any window: RetryRatio times its requests plus
-	// RetryExtra. Higher values mend more failures and load a failing service
-	// more. Defaults 0.2 and 20; both from 0.
+	// RetryRatio and RetryExtra bound the retries that all gateways together make
+	// for one service in any time window: RetryRatio times its requests plus
+	// RetryExtra. Higher values hide more failures from callers and put more load
+	// on a failing service. Defaults 0.2 and 20; from 0 to 10 and to 1e6.
 	RetryRatio *float64 `toml:"retry_ratio"`
 	RetryExtra *float64 `toml:"retry_extra"`
-	// LoadMultiple bounds a caching back end's load in multiples of its pool's
-	// mean. The gateway aims below the bound, since it hears of loads late. Lower
-	// values are more even and read more prompts anew. Default 2; from 1 to 10.
+	// LoadMultiple bounds the load of a back end that caches prefixes, in multiples
+	// of its pool's mean load. The gateway aims lower, because the loads that it
+	// knows are out of date. Lower values balance the pool more evenly, and more
+	// prompts are processed again. Default 2; from 1 to 10.
 	LoadMultiple float64 `toml:"load_multiple"`
-	// LoadSlack is how many requests a caching back end may have beyond that.
-	// Default 3; from 0 to 100.
+	// LoadSlack is the number of requests by which the load of such a back end may
+	// exceed that multiple. Default 3; from 0 to 100.
 	LoadSlack *float64 `toml:"load_slack"`
 	// LeavingBound is the time after which a back end that is known to have left
-	// may get no new request. One that vanished unannounced with half of its pool
-	// is used for seven tenths of it, and two seconds at most. Higher values bridge longer gaps in the
-	// store's list. Default 2s; from 100ms to 10m.
+	// must not get new requests. If at least half of a pool, and at least two of its
+	// back ends, disappear from the list unannounced, they stay in use for 7/10 of
+	// this time, at most 2s. Higher values bridge longer gaps in the store's list.
+	// Default 2s; from 100ms to 10m.
 	LeavingBound tomlfile.Duration `toml:"leaving_bound"`
 	// EvacuationBound is the time after which the back ends of a zone that operators
-	// evacuate may get nothing new. 0, the default, is for platforms without such orders:
-	// nobody reads or awaits them. From 100ms to 10m.
+	// evacuate must not get new requests. 0, the default, is for platforms without
+	// evacuation orders: gateways neither read them nor wait for them before they are
+	// ready. Otherwise from 100ms to 10m.
 	EvacuationBound tomlfile.Duration `toml:"evacuation_bound"`
-	// FirstStart is true when the fleet starts for the first time. Otherwise one of the
-	// gateways that start looks in the store's history for zones that were restored of
-	// late, with a call or a few. Default false.
+	// FirstStart is true if the fleet starts for the first time. Otherwise one of the
+	// gateways that start reads the store's history, in one call or a few, to find zones
+	// that were restored recently. Default false.
 	FirstStart bool `toml:"first_start"`
-	// WarmUpOverage and WarmUpExtra bound what a back end that warms up gets from all
-	// gateways together: in any second WarmUpOverage times the rate that its service
-	// names plus WarmUpExtra requests. Higher values serve more while many start, and
-	// may make them fall over. Defaults 1 and 0; from 0 to 100 and to 1e6.
+	// WarmUpOverage and WarmUpExtra bound the requests that a back end gets from all
+	// gateways together while it warms up: in any second, WarmUpOverage times its
+	// service's warm-up rate plus WarmUpExtra. With higher values more requests are
+	// served while many back ends start, but the requests may overload them.
+	// Defaults 1 and 0; from 0 to 100 and to 1e6.
 	WarmUpOverage *float64 `toml:"warm_up_overage"`
 	WarmUpExtra   float64  `toml:"warm_up_extra"`
-	// ExposureShare and ExposureExtra bound what a version that turns out bad may get while a
-	// service is moved to it: in the whole time of the operators' order that part of the
-	// service's requests, and so many more, from all gateways together. Higher values find a
-	// bad version sooner and let it harm more callers. 0 for both, the default, is for
-	// platforms without such orders: nobody reads or awaits them. From 0 to 1 and to 1e6.
+	// ExposureShare and ExposureExtra bound the requests that a bad version gets from all
+	// gateways together during a rollout: over the whole time of the operators' order, the
+	// fraction ExposureShare of the service's requests plus ExposureExtra. With higher values
+	// a bad version is found sooner and harms more callers. 0 for both, the default, is for
+	// platforms without rollout orders: gateways neither read them nor wait for them before
+	// they are ready. From 0 to 1 and to 1e6.
 	ExposureShare float64 `toml:"exposure_share"`
 	ExposureExtra float64 `toml:"exposure_extra"`
-	// ReadPeriod is the time between two plain reads of one of the store's lists by
-	// any of the gateways that read it, beside their watches. Lower values learn sooner
-	// what a watch missed and cost more calls. Default two fifths of LeavingBound or of
-	// EvacuationBound, whichever is shorter, so that two reads and the way through the
-	// fleet fit into it; from 100ms to 1m.
+	// ReadPeriod is the time between two plain reads of the same list of the store by
+	// any of the gateways that read it, in addition to their watches. With both
+	// evacuation and rollout orders that time is half as long again, and a long list of
+	// back ends is read less often; see follower.Config. Lower values find sooner what a
+	// watch missed and cost more calls.
+	// Default two fifths of LeavingBound or EvacuationBound, whichever is shorter: two
+	// read periods and the propagation through the fleet then fit within the bound.
+	// From 100ms to 1m.
 	ReadPeriod tomlfile.Duration `toml:"read_period"`
-	// ProcessorShare is the part of a core that the gateway may use. In a large fleet
-	// the gateways of a zone with the highest share collect the loads of the others.
-	// Default 1; from 0.01 to 1024.
+	// ProcessorShare is the number of processor cores that the gateway may use, which
+	// may be a fraction. In a large fleet the gateways with the highest share in a zone
+	// collect the loads of the others. Default 1; from 0.01 to 1024.
 	ProcessorShare float64 `toml:"processor_share"`
-	// MemoryMegabytes is the memory that the process may use. The collector keeps below most of
-	// it, and what is held for callers and back ends that read slowly to an eighth; past that,
-	// back ends wait, and new requests are refused. 0, the default, sets no bound. From 32 to
-	// 1048576.
+	// MemoryMegabytes is the memory that the process may use. The garbage collector aims to
+	// keep what the Go runtime uses below 7/10 of it. The data buffered for callers and back
+	// ends that read slowly is limited to 1/8 of it; beyond that limit back ends wait and new
+	// requests are refused. 0, the default, sets no limit. Otherwise from 32 to 1048576.
 	MemoryMegabytes int `toml:"memory_megabytes"`
-	// Disable names mechanisms to switch off (dispatch.Mechanisms). Each breaks a
-	// promise to callers or serves them worse: it is for runs that show that a check
-	// notices, or what a mechanism is worth. Default none.
+	// Disable lists mechanisms to switch off; see dispatch.Mechanisms. Switching one off
+	// breaks a promise to callers or makes the service worse. It is for runs that show
+	// that a check detects this, or what a mechanism contributes. Default none.
 	Disable []string `toml:"disable"`
 }
 
-// heldPart is the part of the memory, as one in so many, for what is held for others. The
-// process itself, connections and the collector's slack take the rest: 48 MB at rest in a fleet
-// of hundreds, and some 20 KB a connection.
+// bufferDivisor sets the buffer limit to 1/bufferDivisor of the memory. The rest is for the
+// process itself, its connections and the slack of the garbage collector: an idle gateway in a
+// fleet of hundreds uses 48 MB, and each connection some 20 KB.
 const bufferDivisor = 8
 
-// HeldBytes bounds what the gateway holds for callers and back ends; 0 for no bound.
+// BufferBytes returns the limit on the data that the gateway buffers for callers and back ends;
+// 0 means no limit.
 func (g *Gateway) BufferBytes() int64 { return int64(g.MemoryMegabytes) << 20 / bufferDivisor }
 
-// MovesServices tells whether operators may move services to other versions.
+// RolloutsEnabled reports whether operators may move services to other versions.
 func (g *Gateway) RolloutsEnabled() bool { return g.ExposureShare > 0 || g.ExposureExtra > 0 }
 
-// Disabled returns Disable as a set.
+// Disabled returns the mechanisms in Disable as a set.
 func (g *Gateway) Disabled() dispatch.Disabled {
 	set := dispatch.Disabled{}
 	for _, name := range g.Disable {
@@ -98,19 +107,20 @@
 	defaultLoadMultiple = 2
 	defaultLoadSlack    = 3
 	defaultLeavingBound = 2 * time.Second
-	// defaultWarmUpOverage keeps to the rate that a service names.
+	// defaultWarmUpOverage allows exactly the warm-up rate of a service.
 	defaultWarmUpOverage = 1
 	maxWarmUpOverage     = 100
 	maxWarmUpExtra       = 1e6
 	maxExposureExtra     = 1e6
 	minMemoryMegabytes   = 32
 	maxMemoryMegabytes   = 1 << 20
-	// leastProcessorShare to mostProcessorShare are cores.
+	// The processor shares are in cores.
 	defaultProcessorShare = 1
 	minProcessorShare     = 0.01
 	maxProcessorShare     = 1024
 	maxReadPeriod         = time.Minute
-	// readFifths is the default read period in fifths of the shortest bound on news.
+	// readPeriodFifths is the default read period in fifths of LeavingBound or
+	// EvacuationBound, whichever is shorter.
 	readPeriodFifths = 2
 	maxLeavingBound  = 10 * time.Minute
 	minReadPeriod    = 100 * time.Millisecond
@@ -184,7 +194,7 @@
 }
 
 func (c *checker) number(field string, value, low, high float64) {
-	// Written so that NaN is out of range too.
+	// The negated form also rejects NaN.
 	if !(value >= low && value <= high) {
 		c.add(field, fmt.Sprintf("%v is out of range", value), fmt.Sprintf("write a value from %v to %v", low, high))
 	}
--- a/internal/settings/gateway_test.go
+++ b/internal/settings/gateway_test.go
@@ -22,7 +22,7 @@
 [gateway]
 `
 
-// What isn't set follows from what the platform tells.
+// Without read_period the read period is derived from the shorter of the two bounds.
 func TestDefaultReadPeriodFollowsShortestBound(t *testing.T) {
 	is := is.New(t)
 	for line, want := range map[string]time.Duration{
@@ -55,7 +55,7 @@
 		is.True(err != nil)
 	}
 	_, err = Parse("s.toml", []byte(gatewaySettings+"disable = [\"luck\"]\n"))
-	is.True(err != nil) // names the known ones
+	is.True(err != nil) // an unknown mechanism
 	s, err = Parse("s.toml", []byte(gatewaySettings+"disable = [\"copying\"]\n"))
 	is.NoErr(err)
 	is.Equal(len(s.Gateway.Disabled()), 1)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -28,71 +28,78 @@
 // Settings is the daemon's TOML file.
 type Settings struct {
 	// Role is "router", "agent" or "gateway". A gateway is a router that sends
-	// straight to back ends, which the platform's store lists with the routes; it
-	// needs neither agents nor bundles, so neither keys.
+	// requests directly to back ends. It reads the routes and back ends from the
+	// platform's store and needs neither agents nor bundles, and hence neither
+	// ClusterKey nor TrustedKeys.
 	Role string `toml:"role"`
-	// ID is unique in the fleet. An agent's is its back end's in the bundle.
+	// ID is the node's ID, unique in the fleet. An agent has the ID of its back end
+	// in the bundle.
 	ID string `toml:"id"`
-	// Region and Zone place the machine.
+	// Region and Zone are the location of the machine.
 	Region string `toml:"region"`
 	Zone   string `toml:"zone"`
-	// ClusterKey is the secret of all nodes: 64 hex digits.
+	// ClusterKey is the secret that all nodes share: 64 hex digits.
 	ClusterKey string `toml:"cluster_key"`
 	// TrustedKeys are the operators' Ed25519 public keys in base64. A bundle
 	// that none of them signed is refused.
 	TrustedKeys []string `toml:"trusted_keys"`
-	// Seeds are peer addresses to try first after a start.
+	// Seeds are the peer addresses that a node contacts first after it starts.
 	Seeds []string `toml:"seeds"`
 	// HopProtocol is the HTTP version between routers and agents: "http1" or
 	// "http2". Default "http1"; see docs/DESIGN.md for the measurement.
 	HopProtocol hop.Protocol `toml:"hop_protocol"`
 	// Listen are the addresses to serve on.
 	Listen Listen `toml:"listen"`
-	// Platform is the object API and machine list.
+	// Platform locates the platform's services.
 	Platform Platform `toml:"platform"`
-	// Router is for routers alone.
+	// Router is for routers; gateways use its MaxBodyBytes too.
 	Router Router `toml:"router"`
-	// Agent is for agents alone.
+	// Agent is for agents only.
 	Agent Agent `toml:"agent"`
-	// Gateway is for gateways alone.
+	// Gateway is for gateways only.
 	Gateway Gateway `toml:"gateway"`
-	// Log is the node's log.
+	// Log configures the node's log.
 	Log Log `toml:"log"`
-	// DrainDelay is how long a stopping router goes on taking requests after its
-	// readiness failed, so that the balancer can notice. Default 5s.
+	// DrainDelay is how long a stopping router or gateway keeps accepting requests
+	// after its readiness check fails, so that the load balancer can notice.
+	// Default 5s.
 	DrainDelay tomlfile.Duration `toml:"drain_delay"`
-	// DrainTimeout is the longest time that a stop waits for work in flight.
-	// Default 10m.
+	// DrainTimeout bounds a stop, including DrainDelay. Requests that are still in
+	// flight then are cut off; a gateway cuts them off 400ms earlier, so that it ends
+	// within DrainTimeout. Default 10m.
 	DrainTimeout tomlfile.Duration `toml:"drain_timeout"`
 }
 
 // Listen are IP addresses with ports.
 type Listen struct {
-	// Callers is a router's listener for callers.
+	// Callers is the listener of a router or gateway for callers.
 	Callers string `toml:"callers"`
 	// Peers is the listener for other nodes.
 	Peers string `toml:"peers"`
-	// Admin serves health, metrics and status. Keep it off public networks.
+	// Admin serves health, metrics, status and commands of operators. Keep it off
+	// public networks.
 	Admin string `toml:"admin"`
-	// Metrics, where given, is a further listener of a gateway for /metrics alone,
-	// for collectors that look at the same port everywhere. A gateway serves without
-	// it when it can't be opened. Default none.
+	// Metrics is an additional listener of a gateway that serves only /metrics, for
+	// scrapers that use the same port on every machine. If it can't be opened, the
+	// gateway serves without it. Default none.
 	Metrics string `toml:"metrics"`
 }
 
-// Platform says where the platform's services are.
+// Platform locates the platform's services.
 type Platform struct {
-	// URL is the base of the object API and machine list. Empty for none.
+	// URL is the base URL of the object API and the machine list; empty if there is
+	// no platform.
 	URL string `toml:"url"`
 }
 
 // Router tunes a router.
 type Router struct {
-	// MaxBodyBytes bounds a caller's request body. Default 8 MiB.
+	// MaxBodyBytes limits the body of a caller's request. A gateway uses it if the
+	// platform's configuration sets no limit. Default 8 MiB.
 	MaxBodyBytes int64 `toml:"max_body_bytes"`
-	// DefaultTimeout is the deadline of a request that names none. Default 60s.
+	// DefaultTimeout is the timeout of a request that doesn't set one. Default 60s.
 	DefaultTimeout tomlfile.Duration `toml:"default_timeout"`
-	// MaxTimeout bounds the deadline that a caller may ask for. Default 10m.
+	// MaxTimeout limits the timeout that a caller may set. Default 10m.
 	MaxTimeout tomlfile.Duration `toml:"max_timeout"`
 }
 
@@ -102,7 +109,7 @@
 	BackEnd string `toml:"back_end"`
 }
 
-// Log tunes the log.
+// Log configures the log.
 type Log struct {
 	// Level is "debug", "info", "warning" or "error". Default "info".
 	Level string `toml:"level"`
@@ -126,12 +133,13 @@
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, failure.Wrap(failure.InvalidSettings, err, "read the settings file")
+		return nil, failure.Wrap(failure.InvalidSettings, err, "can't read the settings file")
 	}
 	return Parse(path, data)
 }
 
-// Parse checks settings. Every problem names file, line, field and remedy.
+// Parse parses and checks settings. The error lists every problem with its file, line,
+// field and remedy.
 func Parse(file string, data []byte) (*Settings, error) {
 	settings := &Settings{}
 	document, err := tomlfile.Decode(file, data, settings)
@@ -175,6 +183,7 @@
 	}
 }
 
+// checker collects the problems of a settings file.
 type checker struct {
 	document *tomlfile.Document
 	problems tomlfile.Problems
@@ -290,25 +299,25 @@
 	}
 }
 
-// ClusterKeyBytes returns the checked cluster key.
+// ClusterKeyBytes returns the decoded cluster key.
 func (s *Settings) ClusterKeyBytes() []byte {
-	// Parse has checked the digits.
+	// Parse has verified the digits.
 	raw, _ := hex.DecodeString(s.ClusterKey)
 	return raw
 }
 
-// PublicKeys returns the checked trusted keys.
+// PublicKeys returns the decoded trusted keys.
 func (s *Settings) PublicKeys() []ed25519.PublicKey {
 	keys := make([]ed25519.PublicKey, len(s.TrustedKeys))
 	for i, text := range s.TrustedKeys {
-		// Parse has checked the encoding.
+		// Parse has verified the encoding.
 		raw, _ := base64.StdEncoding.DecodeString(text)
 		keys[i] = raw
 	}
 	return keys
 }
 
-// Identity returns the node's identity for the control plane.
+// Identity returns the identity of a router or agent in the control plane.
 func (s *Settings) Identity() coordination.Identity {
 	role := membership.RoleAgent
 	if s.Role == RoleRouter {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads TOML documents strictly and reports every problem with
-// its file, line, field and remedy. Settings and bundles share it.
+// Package tomlfile decodes TOML documents strictly and reports every problem with
+// its file, line, field and remedy. Settings and bundles use it.
 package tomlfile
 
 import (
@@ -32,20 +32,21 @@
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Std returns the standard library's form.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Problem is one thing wrong with a document.
+// Problem is one error in a document.
 type Problem struct {
 	// File is the name given to Decode.
 	File string
-	// Line counts from 1; 0 means that the field doesn't stand in the file.
+	// Line is the line of the field, or of the nearest enclosing table if the field isn't
+	// in the file, counted from 1; 0 if neither is.
 	Line int
-	// Field is the dotted path, with list positions counted from 0.
+	// Field is the dotted path of the field, with array indexes from 0.
 	Field string
-	// Fault says what is wrong.
+	// Fault describes the error.
 	Fault string
-	// Remedy says what to write instead.
+	// Remedy describes what to write instead; it may be empty.
 	Remedy string
 }
 
@@ -62,7 +63,7 @@
 	return text
 }
 
-// Problems is a list of problems and an error when it isn't empty.
+// Problems is a list of problems; it implements error.
 type Problems []Problem
 
 // Error implements error.
@@ -82,16 +83,17 @@
 	return ps
 }
 
-// Document is a decoded file that can tell where each field stands.
+// Document is a decoded file that can look up the line of each field.
 type Document struct {
 	file string
 	data []byte
-	// lines is made with the first problem: a document in order needs none.
+	// lines maps the dotted path of each field to its line. It is built for the first
+	// problem, because a valid document doesn't need it.
 	lines map[string]int
 }
 
-// Decode reads data strictly into target. Unknown fields and wrong types are
-// returned as Problems with their lines.
+// Decode decodes data strictly into target. Unknown fields and wrong types are
+// returned as Problems with their lines. file is the name that problems report.
 func Decode(file string, data []byte, target any) (*Document, error) {
 	decoder := toml.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -101,7 +103,7 @@
 	return &Document{file: file, data: data}, nil
 }
 
-// decodeProblems turns the library's errors into Problems.
+// decodeProblems converts an error of the TOML library to Problems.
 func decodeProblems(file string, err error) Problems {
 	var missing *toml.StrictMissingError
 	if errors.As(err, &missing) {
@@ -131,7 +133,8 @@
 	return Problem{File: d.file, Line: d.line(field), Field: field, Fault: fault, Remedy: remedy}
 }
 
-// line finds the field, or the nearest table around it.
+// line returns the line of the field, or else of the nearest enclosing table; 0 if there is
+// neither.
 func (d *Document) line(field string) int {
 	if d.lines == nil {
 		d.lines = indexLines(d.data)
@@ -149,8 +152,8 @@
 	return 0
 }
 
-// locate maps every field's dotted path to its line. A document that already
-// decoded can't fail to parse here.
+// indexLines returns the line of each field, keyed by the field's dotted path. It needs no
+// error check, because the document has already been decoded and so parses.
 func indexLines(data []byte) map[string]int {
 	lines := map[string]int{}
 	counts := map[string]int{}
@@ -180,7 +183,8 @@
 	return lines
 }
 
-// resolveListPath resolves a list's parents but not the list itself.
+// resolveArrayPath returns the path of an array of tables. It adds indexes to the array's
+// parents but not to the array itself.
 func resolveArrayPath(key []string, counts map[string]int) string {
 	last := len(key) - 1
 	parent := resolvePath(key[:last], counts)
@@ -190,7 +194,8 @@
 	return parent + "." + key[last]
 }
 
-// resolvePath inserts the latest position behind each part that names a list.
+// resolvePath returns the path of a key, with the latest index after each part that names an
+// array of tables.
 func resolvePath(key []string, counts map[string]int) string {
 	path := ""
 	for _, part := range key {
@@ -205,6 +210,7 @@
 	return path
 }
 
+// keyParts returns the parts of an expression's dotted key.
 func keyParts(expression *unstable.Node) []string {
 	var parts []string
 	for it := expression.Key(); it.Next(); {
@@ -213,6 +219,7 @@
 	return parts
 }
 
+// expressionLine returns the line of an expression's key.
 func expressionLine(parser *unstable.Parser, expression *unstable.Node) int {
 	key := expression.Key()
 	if !key.Next() {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -42,7 +42,7 @@
 	is.Equal(s.Wait.Std(), 250*time.Millisecond)
 	is.Equal(doc.Problem("pools.0.hosts.1.id", "bad", "fix").String(), "f.toml:9: pools.0.hosts.1.id: bad; fix")
 	is.Equal(doc.Problem("pools.1.hosts.0.id", "bad", "fix").Line, 14)
-	is.Equal(doc.Problem("pools.1.absent", "bad", "fix").Line, 11) // the nearest table
+	is.Equal(doc.Problem("pools.1.absent", "bad", "fix").Line, 11) // the line of the nearest enclosing table
 }
 
 func TestUnknownKeyAndWrongTypeReportTheirLine(t *testing.T) {
