--- a/internal/agent/agenthttp/notice.go
+++ b/internal/agent/agenthttp/notice.go
@@ -23,7 +23,7 @@
 	leaving := response.Header.Get(headerLeaving) != ""
 	retryAfter := time.Duration(0)
 	if response.StatusCode == http.StatusServiceUnavailable {
-		retryAfter = failure.ParseWait(response.Header.Get(headerRetryAfter))
+		retryAfter = failure.ParseRetryAfter(response.Header.Get(headerRetryAfter))
 	}
 	if !leaving && retryAfter == 0 {
 		return
--- a/internal/architecture/imports_test.go
+++ b/internal/architecture/imports_test.go
@@ -65,11 +65,11 @@
 	root   = ".."
 )
 
-func TestNeitherFleetImportsTheOther(t *testing.T) {
+func TestImportsFollowRules(t *testing.T) {
 	is := is.New(t)
 	unused := map[string]bool{}
-	for each := range exceptions {
-		unused[each] = true
+	for exception := range exceptions {
+		unused[exception] = true
 	}
 	err := filepath.WalkDir(root, func(path string, entry os.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -85,10 +85,10 @@
 			if !isOurs || isAllowed(from, to) {
 				continue
 			}
-			what := from + " imports " + to
-			delete(unused, what)
-			if exceptions[what] == "" {
-				t.Errorf("%s: %s, which belongs to the %s", path, what, partOf[to])
+			importEdge := from + " imports " + to
+			delete(unused, importEdge)
+			if exceptions[importEdge] == "" {
+				t.Errorf("%s: %s, which belongs to the %s", path, importEdge, partOf[to])
 			}
 		}
 		return nil
@@ -112,8 +112,8 @@
 	if partOf[from] == partOf[to] {
 		return true
 	}
-	for _, each := range mayImport[partOf[from]] {
-		if each == partOf[to] {
+	for _, allowed := range mayImport[partOf[from]] {
+		if allowed == partOf[to] {
 			return true
 		}
 	}
--- a/internal/architecture/seeds_test.go
+++ b/internal/architecture/seeds_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	propertyTests = `"pgregory.net/rapid"`
-	fixedSeed     = `"` + module + `fixedseed"`
+	rapidImport     = `"pgregory.net/rapid"`
+	fixedSeedImport = `"` + module + `fixedseed"`
 )
 
 // Without the import a property test draws new cases in each run: a failure would come and
 // go, and the run that shows it would be another one than that of the change behind it.
-func TestEachFileOfPropertyTestsHasAFixedSeed(t *testing.T) {
+func TestPropertyTestsImportFixedSeed(t *testing.T) {
 	is := is.New(t)
 	err := filepath.WalkDir(filepath.Join(root, ".."), func(path string, entry os.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
@@ -32,8 +32,8 @@
 		for _, each := range file.Imports {
 			imported[each.Path.Value] = true
 		}
-		if imported[propertyTests] && !imported[fixedSeed] {
-			t.Errorf("%s uses rapid, but doesn't import %s", path, fixedSeed)
+		if imported[rapidImport] && !imported[fixedSeedImport] {
+			t.Errorf("%s uses rapid, but doesn't import %s", path, fixedSeedImport)
 		}
 		return nil
 	})
--- a/internal/bubble/bubble.go
+++ b/internal/bubble/bubble.go
@@ -18,7 +18,7 @@
 
 // threads keeps the process at one thread while any bubble is under way, since bubbles of
 // parallel tests overlap.
-var threads struct {
+var procLimit struct {
 	sync.Mutex
 	bubbles int
 	before  int
@@ -28,26 +28,26 @@
 func Test(t *testing.T, test func(*testing.T)) {
 	t.Helper()
 	if raceDetector {
-		limitThreads()
-		defer restoreThreads()
+		limitProcs()
+		defer restoreProcs()
 	}
 	synctest.Test(t, test)
 }
 
-func limitThreads() {
-	threads.Lock()
-	defer threads.Unlock()
-	if threads.bubbles == 0 {
-		threads.before = runtime.GOMAXPROCS(1)
+func limitProcs() {
+	procLimit.Lock()
+	defer procLimit.Unlock()
+	if procLimit.bubbles == 0 {
+		procLimit.before = runtime.GOMAXPROCS(1)
 	}
-	threads.bubbles++
+	procLimit.bubbles++
 }
 
-func restoreThreads() {
-	threads.Lock()
-	defer threads.Unlock()
-	threads.bubbles--
-	if threads.bubbles == 0 {
-		runtime.GOMAXPROCS(threads.before)
+func restoreProcs() {
+	procLimit.Lock()
+	defer procLimit.Unlock()
+	procLimit.bubbles--
+	if procLimit.bubbles == 0 {
+		runtime.GOMAXPROCS(procLimit.before)
 	}
 }
--- a/internal/bubble/bubble_test.go
+++ b/internal/bubble/bubble_test.go
@@ -11,7 +11,7 @@
 
 // Goroutines that poll timers which are due, beside timers that the clock's own goroutine runs:
 // with several threads the race detector ends the process within a second.
-func TestRaceDetectorBearsTimersOfManyGoroutines(t *testing.T) {
+func TestConcurrentTimersUnderRaceDetector(t *testing.T) {
 	const goroutines, rounds = 16, 500
 	Test(t, func(*testing.T) {
 		var all sync.WaitGroup
@@ -37,13 +37,13 @@
 }
 
 // Threads are as they were once the last of several bubbles that overlap has ended.
-func TestThreadsAreRestored(t *testing.T) {
+func TestProcsAreRestored(t *testing.T) {
 	before := runtime.GOMAXPROCS(0)
-	limitThreads()
-	limitThreads()
-	restoreThreads()
+	limitProcs()
+	limitProcs()
+	restoreProcs()
 	is := is.New(t)
 	is.Equal(runtime.GOMAXPROCS(0), 1)
-	restoreThreads()
+	restoreProcs()
 	is.Equal(runtime.GOMAXPROCS(0), before)
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -38,7 +38,7 @@
 		return failure.New(failure.InvalidRequest, fmt.Sprintf("no log line of a gateway was found, and %d other lines were skipped; name the files with the JSON logs of all gateways", log.Skipped))
 	}
 	offsets := log.Align()
-	return log.Tell(request).Print(output, offsets)
+	return log.Explain(request).Print(output, offsets)
 }
 
 func readLogs(input io.Reader, files []string) (*explain.Log, error) {
--- a/internal/cli/gateway.go
+++ b/internal/cli/gateway.go
@@ -65,7 +65,7 @@
 func reload(path string, node *daemon.Gateway, log *eventlog.Log) {
 	s, err := settings.Load(path)
 	if err != nil {
-		log.Urgent(eventlog.ReloadFailed, logrus.Fields{"cause": err.Error()})
+		log.Warn(eventlog.ReloadFailed, logrus.Fields{"cause": err.Error()})
 		return
 	}
 	node.Reload(s)
--- a/internal/collect/service.go
+++ b/internal/collect/service.go
@@ -208,7 +208,7 @@
 		skipTime = noMembersSkipTime
 	}
 	s.config.Metrics.Counter("collector_silent").Inc(1)
-	s.config.Log.Urgent(eventlog.CollectorSilent, logrus.Fields{"peer": collector.ID, "cause": cause.Error()})
+	s.config.Log.Warn(eventlog.CollectorSilent, logrus.Fields{"peer": collector.ID, "cause": cause.Error()})
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.skippedUntil[collector.ID] = s.config.Clock.Now().Add(skipTime)
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -135,7 +135,7 @@
 		return nil, err
 	}
 	g.startFollower(environment)
-	g.log.Urgent(eventlog.Started, logrus.Fields{
+	g.log.Warn(eventlog.Started, logrus.Fields{
 		"callers": s.Listen.Callers, "peers": s.Listen.Peers, "admin": s.Listen.Admin, "zone": s.Zone,
 	})
 	return g, nil
@@ -256,7 +256,7 @@
 		case <-ticker.C:
 			metrics.Report(g.state.Gauges())
 			if now := g.state.Clock().Suspended(); now != suspended {
-				g.log.Urgent(eventlog.Resumed, logrus.Fields{"suspended_ms": (now - suspended).Milliseconds()})
+				g.log.Warn(eventlog.Resumed, logrus.Fields{"suspended_ms": (now - suspended).Milliseconds()})
 				suspended = now
 			}
 		case <-g.done:
@@ -346,14 +346,14 @@
 // Reload applies the settings that can change while the gateway runs: the seeds.
 func (g *Gateway) Reload(s *settings.Settings) {
 	g.relay.SetSeeds(s.Seeds)
-	g.log.Urgent(eventlog.Reloaded, logrus.Fields{"seeds": len(s.Seeds)})
+	g.log.Warn(eventlog.Reloaded, logrus.Fields{"seeds": len(s.Seeds)})
 }
 
 // Stop drains the gateway and stops it. Readiness fails at once, new requests are accepted for
 // drain_delay longer, so that the load balancer can notice, and requests in flight may complete.
 // When ctx ends, the remaining requests are cut off; see DrainTimeout.
 func (g *Gateway) Stop(ctx context.Context) {
-	g.log.Urgent(eventlog.Stopping, logrus.Fields{"drain_delay": g.settings.DrainDelay.Std().String()})
+	g.log.Warn(eventlog.Stopping, logrus.Fields{"drain_delay": g.settings.DrainDelay.Std().String()})
 	g.state.Drain()
 	delay, cancel := context.WithTimeout(ctx, g.settings.DrainDelay.Std())
 	<-delay.Done()
@@ -375,7 +375,7 @@
 	close(g.done)
 	g.tasks.Wait()
 	_ = g.metrics.Close()
-	g.log.Urgent(eventlog.Stopped, nil)
+	g.log.Warn(eventlog.Stopped, nil)
 }
 
 // DrainTimeout returns how long Stop may wait for requests in flight, including drain_delay. It is
--- a/internal/dispatch/notice_test.go
+++ b/internal/dispatch/notice_test.go
@@ -120,7 +120,7 @@
 		}
 	}
 	_, decision := core.Begin(start.Add(time.Second), request(nonRepeatable(), "b"))
-	is.Equal(decision.GiveUp.Wait(), 3*time.Second)
+	is.Equal(decision.GiveUp.RetryDelay(), 3*time.Second)
 }
 
 // Parts held by a resting back end are copied from another one, or prefilled again.
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -18,59 +18,59 @@
 )
 
 // stalled is an output whose reader has stopped reading.
-type stalled struct{ release chan struct{} }
+type stalledOutput struct{ release chan struct{} }
 
-func (s stalled) Write(line []byte) (int, error) {
+func (s stalledOutput) Write(line []byte) (int, error) {
 	<-s.release
 	return len(line), nil
 }
 
 func noFields() logrus.Fields { return nil }
 
-func TestStalledReaderBlocksNobody(t *testing.T) {
+func TestStalledOutputDoesNotBlock(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		output := stalled{release: make(chan struct{})}
+		output := stalledOutput{release: make(chan struct{})}
 		log := New(output, logrus.InfoLevel, nil)
-		began := time.Now()
+		start := time.Now()
 		for range 100 {
 			for range 100 {
-				log.Urgent(RequestFailed, logrus.Fields{"request": "a"})
-				log.Ordinary(RequestDone, noFields)
+				log.Warn(RequestFailed, logrus.Fields{"request": "a"})
+				log.Info(RequestAnswered, noFields)
 			}
 			time.Sleep(time.Second)
 		}
-		is.Equal(time.Since(began), 100*time.Second) // only the sleeps took time
-		is.True(log.LeftOut() > 0)
+		is.Equal(time.Since(start), 100*time.Second) // only the sleeps took time
+		is.True(log.Dropped() > 0)
 		close(output.release)
 		log.Close()
 	})
 }
 
-func TestNumberOfLinesLeftOutIsTold(t *testing.T) {
+func TestDroppedLinesAreReported(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var output bytes.Buffer
 		log := New(&output, logrus.InfoLevel, logrus.Fields{"node": "n"})
 		for range 1000 {
-			log.Ordinary(RequestDone, noFields)
+			log.Info(RequestAnswered, noFields)
 		}
-		log.Urgent(RequestFailed, logrus.Fields{"request": "a"}) // not starved
-		time.Sleep(2 * summaryPeriod)
+		log.Warn(RequestFailed, logrus.Fields{"request": "a"}) // not starved
+		time.Sleep(2 * dropReportPeriod)
 		log.Close()
-		left, failed := 0, 0
+		dropped, failed := 0, 0
 		for _, line := range strings.Split(strings.TrimSpace(output.String()), "\n") {
 			var fields map[string]any
 			is.NoErr(json.Unmarshal([]byte(line), &fields))
 			is.Equal(fields["node"], "n")
 			switch fields["msg"] {
-			case string(LinesLeftOut):
-				left += int(fields["lines"].(float64))
+			case string(LinesDropped):
+				dropped += int(fields["lines"].(float64))
 			case string(RequestFailed):
 				failed++
 			}
 		}
-		is.Equal(left, 1000-ordinaryPerSecond)
+		is.Equal(dropped, 1000-infoPerSecond)
 		is.Equal(failed, 1)
 	})
 }
@@ -93,12 +93,12 @@
 	is.Equal(listed, known)
 }
 
-func BenchmarkOrdinaryLine(b *testing.B) {
+func BenchmarkInfo(b *testing.B) {
 	log := New(io.Discard, logrus.InfoLevel, logrus.Fields{"node": "n"})
 	defer log.Close()
 	b.ReportAllocs()
 	for b.Loop() {
-		log.Ordinary(RequestSent, func() logrus.Fields {
+		log.Info(RequestSent, func() logrus.Fields {
 			return logrus.Fields{"request": "9c41d07be2a35f68", "back_end": "i-7f3a91c2", "load_estimate": 3.5}
 		})
 	}
--- a/internal/explain/clocks.go
+++ b/internal/explain/clocks.go
@@ -9,7 +9,7 @@
 
 // shared names a change that all gateways hear of within a moment of each other:
 // by the time each writes of it, their clocks can be compared.
-type shared struct {
+type sharedChange struct {
 	event    eventlog.Event
 	backEnd  string
 	revision uint64
@@ -19,9 +19,9 @@
 const (
 	// startup is how long after its start a gateway's lines on changes tell when it
 	// first read of them, not when they were made.
-	startup = 2 * time.Second
+	startupPeriod = 2 * time.Second
 	// fewestShared is the number of changes below which a clock isn't corrected.
-	fewestShared = 3
+	minSharedChanges = 3
 )
 
 // Align sets the time of all lines by the fleet's clock and sorts them. A node's
@@ -34,7 +34,7 @@
 	differences := l.differences()
 	offsets := map[string]time.Duration{}
 	for node, values := range differences {
-		if len(values) >= fewestShared {
+		if len(values) >= minSharedChanges {
 			offsets[node] = median(values)
 		}
 	}
@@ -48,18 +48,18 @@
 // differences returns, by node, how far its time of each shared change lies from
 // the median time of all nodes that wrote of it.
 func (l *Log) differences() map[string][]time.Duration {
-	first := l.firstTold()
+	first := l.firstReports()
 	differences := map[string][]time.Duration{}
-	for _, told := range first {
-		if len(told) < 2 {
+	for _, reports := range first {
+		if len(reports) < 2 {
 			continue
 		}
-		times := make([]time.Duration, 0, len(told))
-		for _, at := range told {
+		times := make([]time.Duration, 0, len(reports))
+		for _, at := range reports {
 			times = append(times, time.Duration(at.UnixNano()))
 		}
 		middle := median(times)
-		for node, at := range told {
+		for node, at := range reports {
 			differences[node] = append(differences[node], time.Duration(at.UnixNano())-middle)
 		}
 	}
@@ -67,35 +67,35 @@
 }
 
 // firstTold returns when each node first wrote of each shared change.
-func (l *Log) firstTold() map[shared]map[string]time.Time {
+func (l *Log) firstReports() map[sharedChange]map[string]time.Time {
 	started := map[string]time.Time{}
-	first := map[shared]map[string]time.Time{}
+	first := map[sharedChange]map[string]time.Time{}
 	for _, line := range l.Lines {
 		if line.Event == eventlog.Started {
 			started[line.Node] = line.Time
 		}
-		change, ok := sharedChange(line)
-		if !ok || line.Time.Sub(started[line.Node]) < startup {
+		change, ok := sharedChangeOf(line)
+		if !ok || line.Time.Sub(started[line.Node]) < startupPeriod {
 			continue
 		}
 		if first[change] == nil {
 			first[change] = map[string]time.Time{}
 		}
-		if known, told := first[change][line.Node]; !told || line.Time.Before(known) {
+		if known, found := first[change][line.Node]; !found || line.Time.Before(known) {
 			first[change][line.Node] = line.Time
 		}
 	}
 	return first
 }
 
-func sharedChange(line Line) (shared, bool) {
+func sharedChangeOf(line Line) (sharedChange, bool) {
 	switch line.Event {
-	case eventlog.Configured:
-		return shared{event: line.Event, revision: line.Version}, true
+	case eventlog.ConfigurationAdopted:
+		return sharedChange{event: line.Event, revision: line.Version}, true
 	case eventlog.BackEndChanged:
-		return shared{event: line.Event, backEnd: line.BackEnd, revision: line.Revision, gone: line.Gone}, true
+		return sharedChange{event: line.Event, backEnd: line.BackEnd, revision: line.Revision, gone: line.Gone}, true
 	default:
-		return shared{}, false
+		return sharedChange{}, false
 	}
 }
 
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -13,7 +13,7 @@
 
 // logOf builds a log from lines "NODE SECONDS EVENT FIELDS", the fields as JSON
 // without braces; the clock of a node may be off.
-func logOf(t *testing.T, off map[string]time.Duration, lines ...string) *Log {
+func newTestLog(t *testing.T, clockOffsets map[string]time.Duration, lines ...string) *Log {
 	t.Helper()
 	var text strings.Builder
 	for _, line := range lines {
@@ -26,7 +26,7 @@
 		if fields != "" {
 			fields = "," + fields
 		}
-		at := start.Add(time.Duration(seconds*1000) * time.Millisecond).Add(off[node])
+		at := start.Add(time.Duration(seconds*1000) * time.Millisecond).Add(clockOffsets[node])
 		fmt.Fprintf(&text, "collector: {\"time\":%q,\"node\":%q,\"msg\":%q%s}\n", at.Format(time.RFC3339Nano), node, event, fields)
 	}
 	var log Log
@@ -87,12 +87,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			log := logOf(t, nil, c.lines...)
+			log := newTestLog(t, nil, c.lines...)
 			offsets := log.Align()
-			story := log.Tell("r")
-			is.Equal(story.Verdict.Cause, c.want)
+			explanation := log.Explain("r")
+			is.Equal(explanation.Verdict.Cause, c.want)
 			var text strings.Builder
-			is.NoErr(story.Print(&text, offsets))
+			is.NoErr(explanation.Print(&text, offsets))
 			is.True(strings.HasPrefix(text.String(), "request r: "+string(c.want)))
 			if c.want != Unheard && c.want != Unclear {
 				is.True(strings.Contains(text.String(), "\n* ")) // some line shows it
@@ -103,9 +103,9 @@
 
 // TestClocksThatDiffer: a gateway whose clock is 40 s ahead is put in its place by
 // the changes that all write of, also where it has just read them at its start.
-func TestClocksThatDiffer(t *testing.T) {
+func TestAlignCorrectsClockOffset(t *testing.T) {
 	is := is.New(t)
-	off := map[string]time.Duration{"g2": 40 * time.Second}
+	clockOffsets := map[string]time.Duration{"g2": 40 * time.Second}
 	lines := []string{`g2 1 node.started`}
 	for version := range 5 {
 		for i, node := range []string{"g1", "g2", "g3"} {
@@ -119,7 +119,7 @@
 		}
 	}
 	lines = append(lines, `g2 12 request.refused "request":"r","kind":"timed_out"`, `g1 11 back_end.health "back_end":"b1"`, `g3 13 back_end.health "back_end":"b1"`)
-	log := logOf(t, off, lines...)
+	log := newTestLog(t, clockOffsets, lines...)
 	offsets := log.Align()
 	is.True((offsets["g2"] - 40*time.Second).Abs() < 200*time.Millisecond)
 	var order []string
@@ -131,9 +131,9 @@
 
 // TestDecisionIsTakenWhereItWasMade: a line that was written after all stands at
 // the time of its decision.
-func TestDecisionIsTakenWhereItWasMade(t *testing.T) {
+func TestAlignOrdersLinesByDecisionTime(t *testing.T) {
 	is := is.New(t)
-	log := logOf(t, nil,
+	log := newTestLog(t, nil,
 		`g1 10 request.attempt_failed "request":"r","back_end":"b1","cause":"EOF"`,
 		`g1 10.1 request.sent "request":"r","back_end":"b1","decided_at":"2026-01-06T22:00:09Z"`)
 	log.Align()
@@ -148,17 +148,17 @@
 			return
 		}
 		log.Align()
-		if err := log.Tell("r").Print(&strings.Builder{}, nil); err != nil {
+		if err := log.Explain("r").Print(&strings.Builder{}, nil); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
 // While a service is moved to another version, the story names the one that a request was sent to.
-func TestStoryNamesTheVersion(t *testing.T) {
+func TestPrintShowsBackEndVersion(t *testing.T) {
 	is := is.New(t)
-	log := logOf(t, nil, `g1 10 request.sent "request":"r","back_end":"b1","back_end_version":"v2","service":"s","attempts":1`)
+	log := newTestLog(t, nil, `g1 10 request.sent "request":"r","back_end":"b1","back_end_version":"v2","service":"s","attempts":1`)
 	var output strings.Builder
-	is.NoErr(log.Tell("r").Print(&output, nil))
+	is.NoErr(log.Explain("r").Print(&output, nil))
 	is.True(strings.Contains(output.String(), "back_end_version=v2"))
 }
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -70,12 +70,12 @@
 	Leaving  bool   `json:"leaving"`
 	Gone     bool   `json:"gone"`
 
-	From      string  `json:"from"`
-	To        string  `json:"to"`
-	ErrorRate float64 `json:"error_rate"`
-	Peer      string  `json:"peer"`
-	What      string  `json:"what"`
-	LeftOut   int64   `json:"lines"`
+	From         string  `json:"from"`
+	To           string  `json:"to"`
+	ErrorRate    float64 `json:"error_rate"`
+	Peer         string  `json:"peer"`
+	What         string  `json:"what"`
+	DroppedLines int64   `json:"lines"`
 }
 
 // maxLineBytes bounds one line of a log.
--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -15,17 +15,17 @@
 
 // Print writes the story as a timeline, the verdict first. Lines that show the
 // verdict are marked with an asterisk.
-func (s Story) Print(output io.Writer, offsets map[string]time.Duration) error {
+func (e Explanation) Print(output io.Writer, offsets map[string]time.Duration) error {
 	var text strings.Builder
-	fmt.Fprintf(&text, "request %s: %s\n  %s\n", s.Request, s.Verdict.Cause, s.Verdict.Why)
+	fmt.Fprintf(&text, "request %s: %s\n  %s\n", e.Request, e.Verdict.Cause, e.Verdict.Why)
 	for _, node := range slices.Sorted(maps.Keys(offsets)) {
-		if offset := offsets[node].Round(time.Millisecond); offset.Abs() > toldOffset {
+		if offset := offsets[node].Round(time.Millisecond); offset.Abs() > minPrintedOffset {
 			fmt.Fprintf(&text, "  the clock of %s is taken to be %v ahead\n", node, offset)
 		}
 	}
-	for _, line := range s.timeline() {
+	for _, line := range e.timeline() {
 		mark := " "
-		if slices.Contains(s.Verdict.Evidence, line) {
+		if slices.Contains(e.Verdict.Evidence, line) {
 			mark = "*"
 		}
 		fmt.Fprintf(&text, "%s %s %-18s %-24s %s\n", mark, line.At.UTC().Format("15:04:05.000"), line.Node, line.Event, details(line))
@@ -37,11 +37,11 @@
 }
 
 // toldOffset is the difference of a clock below which nothing is said of it.
-const toldOffset = 100 * time.Millisecond
+const minPrintedOffset = 100 * time.Millisecond
 
 // timeline joins the request's lines and those around it.
-func (s Story) timeline() []Line {
-	lines := slices.Concat(s.Own, s.Around)
+func (e Explanation) timeline() []Line {
+	lines := slices.Concat(e.RequestLines, e.ContextLines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
 	return lines
 }
@@ -86,8 +86,8 @@
 	if line.Request != "" {
 		add("elapsed=%dms", line.ElapsedMillis)
 	}
-	if line.LeftOut > 0 {
-		add("lines=%d", line.LeftOut)
+	if line.DroppedLines > 0 {
+		add("lines=%d", line.DroppedLines)
 	}
 	if line.Cause != "" {
 		add("cause=%q", line.Cause)
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -9,82 +9,82 @@
 
 const (
 	// before and after bound what else is told around a request's own lines.
-	before = 10 * time.Second
-	after  = 5 * time.Second
+	contextBefore = 10 * time.Second
+	contextAfter  = 5 * time.Second
 	// beside is how close another request's failure must lie to count as a sign of
 	// the same trouble.
-	beside = 2 * time.Second
+	nearbyWindow = 2 * time.Second
 )
 
 // Story is what the logs tell of one request.
-type Story struct {
+type Explanation struct {
 	// Request is its ID.
 	Request string
 	// Own are the lines that name it, in order.
-	Own []Line
+	RequestLines []Line
 	// Around are the lines that bear on it: what its gateway believed and heard, and
 	// what became of the back ends that it was sent to.
-	Around []Line
+	ContextLines []Line
 	// Beside are lines of other requests' failures and answers at about the same
 	// time, for other paths.
-	Beside []Line
+	NearbyOutcomes []Line
 	// Alike are failures of back ends' own, at other times too, to requests for the
 	// same path.
-	Alike []Line
+	SamePathFailures []Line
 	// Crashes are failed attempts of other requests of the same content, and what followed
 	// for all of them.
-	Crashes []Line
+	SameContentLines []Line
 	// Verdict is the likely cause.
 	Verdict Verdict
 }
 
 // Tell returns the story of a request. The log must be aligned.
-func (l *Log) Tell(request string) Story {
-	story := Story{Request: request}
+func (l *Log) Explain(request string) Explanation {
+	explanation := Explanation{Request: request}
 	for _, line := range l.Lines {
 		if line.Request == request {
-			story.Own = append(story.Own, line)
+			explanation.RequestLines = append(explanation.RequestLines, line)
 		}
 	}
-	if len(story.Own) > 0 {
-		l.lookAround(&story)
+	if len(explanation.RequestLines) > 0 {
+		l.collectContext(&explanation)
 	}
-	story.Verdict = judge(&story)
-	return story
+	explanation.Verdict = findCause(&explanation)
+	return explanation
 }
 
-func (l *Log) lookAround(story *Story) {
-	first, last := story.Own[0].At, story.Own[len(story.Own)-1].At
-	path, fingerprint := story.Path(), story.fingerprint()
+func (l *Log) collectContext(explanation *Explanation) {
+	first, last := explanation.RequestLines[0].At, explanation.RequestLines[len(explanation.RequestLines)-1].At
+	path, fingerprint := explanation.Path(), explanation.fingerprint()
 	for _, line := range l.Lines {
-		if fingerprint != "" && line.Fingerprint == fingerprint && line.Request != story.Request && line.Event != eventlog.RequestRefused {
-			story.Crashes = append(story.Crashes, line)
+		if fingerprint != "" && line.Fingerprint == fingerprint && line.Request != explanation.Request && line.Event != eventlog.RequestRefused {
+			explanation.SameContentLines = append(explanation.SameContentLines, line)
 		}
-		if path != "" && line.Path == path && line.Request != story.Request {
-			if line.Status >= serverFailure {
-				story.Alike = append(story.Alike, line)
+		if path != "" && line.Path == path && line.Request != explanation.Request {
+			if line.Status >= firstServerErrorStatus {
+				explanation.SamePathFailures = append(explanation.SamePathFailures, line)
 			}
 			continue
 		}
-		if line.At.Before(first.Add(-before)) || line.At.After(last.Add(after)) {
+		if line.At.Before(first.Add(-contextBefore)) || line.At.After(last.Add(contextAfter)) {
 			continue
 		}
-		near := !line.At.Before(first.Add(-beside)) && !line.At.After(last.Add(beside))
+		nearby := !line.At.Before(first.Add(-nearbyWindow)) && !line.At.After(last.Add(nearbyWindow))
 		switch {
-		case line.Request == story.Request:
+		case line.Request == explanation.Request:
 		case line.Request != "":
-			if near && isOutcome(line) {
-				story.Beside = append(story.Beside, line)
+			if nearby && isOutcome(line) {
+				explanation.NearbyOutcomes = append(explanation.NearbyOutcomes, line)
 			}
-		case story.bearsOn(line):
-			story.Around = append(story.Around, line)
+		case explanation.isRelevant(line):
+			explanation.ContextLines = append(explanation.ContextLines, line)
 		}
 	}
 }
 
 // fingerprint returns what stands for the request's content, or "" where no line tells.
-func (s *Story) fingerprint() string {
-	for _, line := range s.Own {
+func (e *Explanation) fingerprint() string {
+	for _, line := range e.RequestLines {
 		if line.Fingerprint != "" {
 			return line.Fingerprint
 		}
@@ -93,31 +93,31 @@
 }
 
 func isOutcome(line Line) bool {
-	return isFailure(line) || line.Event == eventlog.RequestDone
+	return isFailure(line) || line.Event == eventlog.RequestAnswered
 }
 
 func isFailure(line Line) bool {
-	return line.Event == eventlog.RequestRetried || line.Event == eventlog.RequestFailed
+	return line.Event == eventlog.AttemptFailed || line.Event == eventlog.RequestFailed
 }
 
 // failuresAt and answersAt return other requests' outcomes at a back end.
-func (s *Story) failuresAt(backEnd string) []Line {
-	return where(s.Beside, func(line Line) bool { return line.BackEnd == backEnd && isFailure(line) })
+func (e *Explanation) failuresAt(backEnd string) []Line {
+	return filter(e.NearbyOutcomes, func(line Line) bool { return line.BackEnd == backEnd && isFailure(line) })
 }
 
-func (s *Story) answersAt(backEnd string) []Line {
-	return where(s.Beside, func(line Line) bool {
-		return line.BackEnd == backEnd && line.Event == eventlog.RequestDone && line.Status < succeeded
+func (e *Explanation) answersAt(backEnd string) []Line {
+	return filter(e.NearbyOutcomes, func(line Line) bool {
+		return line.BackEnd == backEnd && line.Event == eventlog.RequestAnswered && line.Status < firstErrorStatus
 	})
 }
 
 // failingBackEnds returns the back ends of the service at which other requests
 // failed at least as often as they were answered. Of the answers only some are
 // logged, so this asks for many failures.
-func (s *Story) failingBackEnds() []string {
+func (e *Explanation) failingBackEnds() []string {
 	var ids []string
-	for _, id := range distinctBackEnds(s.Beside) {
-		if failed := len(s.failuresAt(id)); failed > 0 && failed >= len(s.answersAt(id)) {
+	for _, id := range distinctBackEnds(e.NearbyOutcomes) {
+		if failed := len(e.failuresAt(id)); failed > 0 && failed >= len(e.answersAt(id)) {
 			ids = append(ids, id)
 		}
 	}
@@ -125,23 +125,23 @@
 }
 
 // bearsOn tells whether a line on something else than a request may explain it.
-func (s *Story) bearsOn(line Line) bool {
+func (e *Explanation) isRelevant(line Line) bool {
 	switch line.Event {
 	case eventlog.BackEndHealth:
-		return slices.Contains(s.BackEnds(), line.BackEnd)
+		return slices.Contains(e.BackEnds(), line.BackEnd)
 	case eventlog.BackEndChanged:
-		return slices.Contains(s.BackEnds(), line.BackEnd) || line.Service == s.Service() && line.Gone && line.Node == s.Node()
+		return slices.Contains(e.BackEnds(), line.BackEnd) || line.Service == e.Service() && line.Gone && line.Node == e.Node()
 	default:
-		return line.Node == s.Node()
+		return line.Node == e.Node()
 	}
 }
 
 // Node returns the gateway that served the request.
-func (s *Story) Node() string { return s.Own[0].Node }
+func (e *Explanation) Node() string { return e.RequestLines[0].Node }
 
 // Path returns the request's path where a failure told it, or "".
-func (s *Story) Path() string {
-	for _, line := range s.Own {
+func (e *Explanation) Path() string {
+	for _, line := range e.RequestLines {
 		if line.Path != "" {
 			return line.Path
 		}
@@ -150,8 +150,8 @@
 }
 
 // Service returns the service that the request went to, or "".
-func (s *Story) Service() string {
-	for _, line := range s.Own {
+func (e *Explanation) Service() string {
+	for _, line := range e.RequestLines {
 		if line.Service != "" {
 			return line.Service
 		}
@@ -160,9 +160,9 @@
 }
 
 // BackEnds returns the back ends that the request was sent to, in order.
-func (s *Story) BackEnds() []string {
+func (e *Explanation) BackEnds() []string {
 	var ids []string
-	for _, line := range s.Own {
+	for _, line := range e.RequestLines {
 		if line.BackEnd != "" && !slices.Contains(ids, line.BackEnd) {
 			ids = append(ids, line.BackEnd)
 		}
@@ -171,19 +171,23 @@
 }
 
 // own returns the request's lines of an event.
-func (s *Story) own(event eventlog.Event) []Line { return ofEvent(s.Own, event) }
+func (e *Explanation) requestLinesOf(event eventlog.Event) []Line {
+	return ofEvent(e.RequestLines, event)
+}
 
 // around returns the other lines of an event.
-func (s *Story) around(event eventlog.Event) []Line { return ofEvent(s.Around, event) }
+func (e *Explanation) contextLinesOf(event eventlog.Event) []Line {
+	return ofEvent(e.ContextLines, event)
+}
 
 func ofEvent(lines []Line, event eventlog.Event) []Line {
-	return where(lines, func(line Line) bool { return line.Event == event })
+	return filter(lines, func(line Line) bool { return line.Event == event })
 }
 
-func where(lines []Line, holds func(Line) bool) []Line {
+func filter(lines []Line, keep func(Line) bool) []Line {
 	var list []Line
 	for _, line := range lines {
-		if holds(line) {
+		if keep(line) {
 			list = append(list, line)
 		}
 	}
--- a/internal/explain/verdict.go
+++ b/internal/explain/verdict.go
@@ -48,30 +48,30 @@
 }
 
 // rule names a cause where the story shows it.
-type rule func(*Story) (Verdict, bool)
+type rule func(*Explanation) (Verdict, bool)
 
 // rules are asked in order: an end that names its own cause comes before signs
 // around it.
-var rules = []rule{unheard, served, left, refusedCaller, withheld, unready, gatewayEnded, brokenStream, failedAttempt, fullPool}
+var rules = []rule{notLogged, served, callerLeft, callersFault, withheld, gatewayUnready, gatewayEnded, streamBroken, failedAttempt, poolFull}
 
-func judge(story *Story) Verdict {
+func findCause(explanation *Explanation) Verdict {
 	for _, applies := range rules {
-		if verdict, ok := applies(story); ok {
+		if verdict, ok := applies(explanation); ok {
 			return verdict
 		}
 	}
-	return Verdict{Cause: Unclear, Why: "the lines name no cause", Evidence: story.Own}
+	return Verdict{Cause: Unclear, Why: "the lines name no cause", Evidence: explanation.RequestLines}
 }
 
-func unheard(s *Story) (Verdict, bool) {
-	return Verdict{Cause: Unheard, Why: "no line names the request: it reached no gateway, went to one that ended at once, or was answered while ordinary lines were left out"}, len(s.Own) == 0
+func notLogged(e *Explanation) (Verdict, bool) {
+	return Verdict{Cause: Unheard, Why: "no line names the request: it reached no gateway, went to one that ended at once, or was answered while ordinary lines were left out"}, len(e.RequestLines) == 0
 }
 
 // end returns the line of the request's end, if there is one.
-func (s *Story) end() (Line, bool) {
-	for _, line := range slices.Backward(s.Own) {
+func (e *Explanation) end() (Line, bool) {
+	for _, line := range slices.Backward(e.RequestLines) {
 		switch line.Event {
-		case eventlog.RequestDone, eventlog.RequestRefused, eventlog.RequestFailed, eventlog.CallerLeft:
+		case eventlog.RequestAnswered, eventlog.RequestRefused, eventlog.RequestFailed, eventlog.CallerLeft:
 			return line, true
 		}
 	}
@@ -79,120 +79,120 @@
 }
 
 // succeeded is the first status that isn't a success.
-const succeeded = 400
+const firstErrorStatus = 400
 
-func served(s *Story) (Verdict, bool) {
-	end, ended := s.end()
-	if !ended || end.Event != eventlog.RequestDone || end.Status >= succeeded {
+func served(e *Explanation) (Verdict, bool) {
+	end, ended := e.end()
+	if !ended || end.Event != eventlog.RequestAnswered || end.Status >= firstErrorStatus {
 		return Verdict{}, false
 	}
-	failures := s.own(eventlog.RequestRetried)
+	failures := e.requestLinesOf(eventlog.AttemptFailed)
 	if len(failures) == 0 {
 		return Verdict{Cause: Served, Why: fmt.Sprintf("answered whole with %d after %d ms", end.Status, end.ElapsedMillis), Evidence: []Line{end}}, true
 	}
-	cause := judgeAttempt(s, failures[0])
+	cause := attemptVerdict(e, failures[0])
 	why := fmt.Sprintf("answered whole after %d attempts and %d ms; the first failed: %s", end.Attempts, end.ElapsedMillis, cause.Why)
 	return Verdict{Cause: ServedLate, Why: why, Evidence: append(cause.Evidence, end)}, true
 }
 
-func left(s *Story) (Verdict, bool) {
-	lines := s.own(eventlog.CallerLeft)
+func callerLeft(e *Explanation) (Verdict, bool) {
+	lines := e.requestLinesOf(eventlog.CallerLeft)
 	return Verdict{Cause: CallerLeft, Why: "the caller closed its connection", Evidence: lines}, len(lines) > 0
 }
 
 // refusal returns the line of the gateway's own error of one of the kinds.
-func (s *Story) refusal(kinds ...string) []Line {
-	return where(s.own(eventlog.RequestRefused), func(line Line) bool { return slices.Contains(kinds, line.Kind) })
+func (e *Explanation) refusal(kinds ...string) []Line {
+	return filter(e.requestLinesOf(eventlog.RequestRefused), func(line Line) bool { return slices.Contains(kinds, line.Kind) })
 }
 
-func refusedCaller(s *Story) (Verdict, bool) {
-	lines := s.refusal("unauthenticated", "unknown_route", "invalid_request", "too_large")
+func callersFault(e *Explanation) (Verdict, bool) {
+	lines := e.refusal("unauthenticated", "unknown_route", "invalid_request", "too_large")
 	if len(lines) == 0 {
 		return Verdict{}, false
 	}
-	adopted := where(s.around(eventlog.Configured), func(line Line) bool { return !line.At.After(lines[0].At) })
+	adopted := filter(e.contextLinesOf(eventlog.ConfigurationAdopted), func(line Line) bool { return !line.At.After(lines[0].At) })
 	if len(adopted) == 0 || lines[0].Kind != "unauthenticated" && lines[0].Kind != "unknown_route" {
 		return Verdict{Cause: CallersFault, Why: "the gateway refused it: " + lines[0].Cause, Evidence: lines}, true
 	}
-	newest := adopted[len(adopted)-1]
-	why := fmt.Sprintf("%s; version %d came into force there %.1f s before, and may have taken the key or route away", lines[0].Cause, newest.Version, lines[0].At.Sub(newest.At).Seconds())
-	return Verdict{Cause: KeyTakenAway, Why: why, Evidence: []Line{newest, lines[0]}}, true
+	latest := adopted[len(adopted)-1]
+	why := fmt.Sprintf("%s; version %d came into force there %.1f s before, and may have taken the key or route away", lines[0].Cause, latest.Version, lines[0].At.Sub(latest.At).Seconds())
+	return Verdict{Cause: KeyTakenAway, Why: why, Evidence: []Line{latest, lines[0]}}, true
 }
 
-func withheld(s *Story) (Verdict, bool) {
-	lines := s.refusal("withheld")
+func withheld(e *Explanation) (Verdict, bool) {
+	lines := e.refusal("withheld")
 	if len(lines) == 0 {
 		return Verdict{}, false
 	}
 	why := "requests of its content crashed the back ends that ran them, so the gateways send none (fingerprint " + lines[0].Fingerprint + ")"
-	return Verdict{Cause: Withheld, Why: why, Evidence: append(s.Crashes, lines...)}, true
+	return Verdict{Cause: Withheld, Why: why, Evidence: append(e.SameContentLines, lines...)}, true
 }
 
-func unready(s *Story) (Verdict, bool) {
-	lines := s.refusal("not_ready")
-	evidence := append(s.around(eventlog.Started), s.around(eventlog.StoreLost)...)
+func gatewayUnready(e *Explanation) (Verdict, bool) {
+	lines := e.refusal("not_ready")
+	evidence := append(e.contextLinesOf(eventlog.Started), e.contextLinesOf(eventlog.StoreLost)...)
 	return Verdict{Cause: GatewayUnready, Why: "its gateway had started and knew no configuration yet", Evidence: append(evidence, lines...)}, len(lines) > 0
 }
 
-func gatewayEnded(s *Story) (Verdict, bool) {
-	if _, ended := s.end(); ended {
+func gatewayEnded(e *Explanation) (Verdict, bool) {
+	if _, ended := e.end(); ended {
 		return Verdict{}, false
 	}
-	last := s.Own[len(s.Own)-1]
-	evidence := where(s.Around, func(line Line) bool {
-		return line.Node == s.Node() && line.At.After(last.At) && (line.Event == eventlog.Started || line.Event == eventlog.Stopped)
+	last := e.RequestLines[len(e.RequestLines)-1]
+	evidence := filter(e.ContextLines, func(line Line) bool {
+		return line.Node == e.Node() && line.At.After(last.At) && (line.Event == eventlog.Started || line.Event == eventlog.Stopped)
 	})
 	return Verdict{Cause: GatewayEnded, Why: "its gateway ended with the request under way: no end is logged, and the gateway started or stopped afterwards", Evidence: append([]Line{last}, evidence...)}, len(evidence) > 0
 }
 
-func brokenStream(s *Story) (Verdict, bool) {
-	lines := where(s.own(eventlog.RequestFailed), func(line Line) bool { return line.Events > 0 })
+func streamBroken(e *Explanation) (Verdict, bool) {
+	lines := filter(e.requestLinesOf(eventlog.RequestFailed), func(line Line) bool { return line.Events > 0 })
 	if len(lines) == 0 {
 		return Verdict{}, false
 	}
-	crash := judgeAttempt(s, lines[0])
-	why := fmt.Sprintf("the answer broke off after %d events (%s) and could not be continued: %s", lines[0].Events, lines[0].Cause, crash.Why)
-	return Verdict{Cause: StreamBroken, Why: why, Evidence: append(lines, crash.Evidence...)}, true
+	attempt := attemptVerdict(e, lines[0])
+	why := fmt.Sprintf("the answer broke off after %d events (%s) and could not be continued: %s", lines[0].Events, lines[0].Cause, attempt.Why)
+	return Verdict{Cause: StreamBroken, Why: why, Evidence: append(lines, attempt.Evidence...)}, true
 }
 
 // failedAttempt judges by the last attempt that failed.
-func failedAttempt(s *Story) (Verdict, bool) {
-	failures := s.own(eventlog.RequestRetried)
+func failedAttempt(e *Explanation) (Verdict, bool) {
+	failures := e.requestLinesOf(eventlog.AttemptFailed)
 	if len(failures) == 0 {
 		return Verdict{}, false
 	}
-	failing := where(failures, func(line Line) bool { return line.Status >= serverFailure })
-	if alike := append(failing, s.Alike...); len(failing) > 0 && len(distinctBackEnds(alike)) > 1 {
-		why := fmt.Sprintf("%d back ends answered %d requests for the path %s with a failure of their own: it is the request that fails, wherever it runs", len(distinctBackEnds(alike)), len(alike), s.Path())
+	failing := filter(failures, func(line Line) bool { return line.Status >= firstServerErrorStatus })
+	if samePath := append(failing, e.SamePathFailures...); len(failing) > 0 && len(distinctBackEnds(samePath)) > 1 {
+		why := fmt.Sprintf("%d back ends answered %d requests for the path %s with a failure of their own: it is the request that fails, wherever it runs", len(distinctBackEnds(samePath)), len(samePath), e.Path())
 		return Verdict{Cause: RequestFails, Why: why, Evidence: failing}, true
 	}
-	return judgeAttempt(s, failures[len(failures)-1]), true
+	return attemptVerdict(e, failures[len(failures)-1]), true
 }
 
 // serverFailure is the first status that reports a back end's own failure.
-const serverFailure = 500
+const firstServerErrorStatus = 500
 
 // manyFailing is the number of back ends whose failures at the same time make them
 // the pool's trouble rather than one member's.
-const manyFailing = 3
+const minFailingBackEnds = 3
 
 // judgeAttempt says why one attempt failed.
-func judgeAttempt(s *Story, failed Line) Verdict {
-	changes := where(s.Around, func(line Line) bool {
+func attemptVerdict(e *Explanation, failed Line) Verdict {
+	changes := filter(e.ContextLines, func(line Line) bool {
 		return line.BackEnd == failed.BackEnd && (line.Event == eventlog.BackEndHealth || line.Event == eventlog.BackEndChanged && line.Gone)
 	})
 	evidence := append([]Line{failed}, changes...)
-	failing := s.failingBackEnds()
-	others := fmt.Sprintf("within %v %d other attempts failed there, and %d logged ones were answered", beside, len(s.failuresAt(failed.BackEnd)), len(s.answersAt(failed.BackEnd)))
+	failing := e.failingBackEnds()
+	others := fmt.Sprintf("within %v %d other attempts failed there, and %d logged ones were answered", nearbyWindow, len(e.failuresAt(failed.BackEnd)), len(e.answersAt(failed.BackEnd)))
 	verdict := func(cause Cause, why string) Verdict {
 		return Verdict{Cause: cause, Why: failed.BackEnd + " " + why + " (" + others + ")", Evidence: evidence}
 	}
 	switch {
 	case failed.NotSent:
 		return verdict(Unreachable, "could not be connected to; nothing was sent")
-	case failed.Status >= serverFailure && len(failing) >= manyFailing:
+	case failed.Status >= firstServerErrorStatus && len(failing) >= minFailingBackEnds:
 		return verdict(PoolFailing, fmt.Sprintf("answered %d while %d back ends failed more requests than they were seen to answer", failed.Status, len(failing)))
-	case failed.Status >= serverFailure && strings.Contains(failed.Cause, "failed"):
+	case failed.Status >= firstServerErrorStatus && strings.Contains(failed.Cause, "failed"):
 		return verdict(BackEndFailing, fmt.Sprintf("answered %d", failed.Status))
 	case strings.Contains(failed.Cause, "refused"), strings.Contains(failed.Cause, "has the address"):
 		return verdict(Refused, "said that it did not run the request: "+failed.Cause)
@@ -200,7 +200,7 @@
 		return verdict(AnswerSpoiled, "sent an answer that can't be used: "+failed.Cause)
 	case failed.Expired || failed.DeadlinePassed:
 		return verdict(BackEndSilent, "gave no answer in time")
-	case s.brokeTogether(failed):
+	case e.backEndCrashed(failed):
 		return verdict(BackEndCrashed, "broke off ("+failed.Cause+") together with others, or was gone right after")
 	default:
 		return verdict(AnswerLost, "broke off for this request ("+failed.Cause+") and went on answering others: it may have run and its answer was lost")
@@ -209,26 +209,26 @@
 
 const (
 	// together is how close the ends of connections lie that one crash ends.
-	together = 150 * time.Millisecond
+	crashWindow = 150 * time.Millisecond
 	// goneSoon is how soon after a crash the list lacks the back end.
-	goneSoon = 5 * time.Second
+	removalWindow = 5 * time.Second
 	// fewestTogether is the number of other attempts that must have broken off.
-	fewestTogether = 2
+	minBrokenAttempts = 2
 )
 
 // brokeTogether tells whether the back end itself ended: several of its
 // connections broke off at once and no answer came right after, or it vanished.
-func (s *Story) brokeTogether(failed Line) bool {
-	gone := where(s.Around, func(line Line) bool {
-		return line.BackEnd == failed.BackEnd && line.Gone && !line.At.Before(failed.At) && line.At.Sub(failed.At) < goneSoon
+func (e *Explanation) backEndCrashed(failed Line) bool {
+	gone := filter(e.ContextLines, func(line Line) bool {
+		return line.BackEnd == failed.BackEnd && line.Gone && !line.At.Before(failed.At) && line.At.Sub(failed.At) < removalWindow
 	})
-	broken := where(s.failuresAt(failed.BackEnd), func(line Line) bool {
-		return line.Status == 0 && line.At.Sub(failed.At).Abs() < together
+	broken := filter(e.failuresAt(failed.BackEnd), func(line Line) bool {
+		return line.Status == 0 && line.At.Sub(failed.At).Abs() < crashWindow
 	})
-	answered := where(s.answersAt(failed.BackEnd), func(line Line) bool {
-		return line.At.After(failed.At) && line.At.Sub(failed.At) < together
+	answered := filter(e.answersAt(failed.BackEnd), func(line Line) bool {
+		return line.At.After(failed.At) && line.At.Sub(failed.At) < crashWindow
 	})
-	return len(gone) > 0 || len(broken) >= fewestTogether && len(answered) == 0
+	return len(gone) > 0 || len(broken) >= minBrokenAttempts && len(answered) == 0
 }
 
 func distinctBackEnds(lines []Line) []string {
@@ -241,15 +241,15 @@
 	return ids
 }
 
-func fullPool(s *Story) (Verdict, bool) {
-	lines := s.refusal("pool_exhausted", "deadline_unmeetable", "backend_unreachable")
+func poolFull(e *Explanation) (Verdict, bool) {
+	lines := e.refusal("pool_exhausted", "deadline_unmeetable", "backend_unreachable")
 	if len(lines) == 0 {
 		return Verdict{}, false
 	}
-	gone := where(s.Around, func(line Line) bool {
-		return line.Event == eventlog.BackEndChanged && line.Gone && line.Service == s.Service() && !line.At.After(lines[0].At)
+	gone := filter(e.ContextLines, func(line Line) bool {
+		return line.Event == eventlog.BackEndChanged && line.Gone && line.Service == e.Service() && !line.At.After(lines[0].At)
 	})
-	if len(gone) >= manyFailing {
+	if len(gone) >= minFailingBackEnds {
 		return Verdict{Cause: BackEndsVanished, Why: fmt.Sprintf("%d back ends of the service had vanished from the list just before", len(gone)), Evidence: append(gone, lines...)}, true
 	}
 	return Verdict{Cause: PoolFull, Why: "no back end of the service had room by the gateway's estimate, and nothing was sent: " + lines[0].Cause, Evidence: lines}, true
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -127,7 +127,7 @@
 
 // withheldWait is when to come back with a request that is withheld: it is for a day, or until
 // operators mend what crashes.
-const withheldWait = 10 * time.Minute
+const withheldRetryAfter = 10 * time.Minute
 
 var table = [kindCount]Answer{
 	Internal:            {"internal", http.StatusInternalServerError, RanUnknown, false, 0},
@@ -142,7 +142,7 @@
 	QueueFull:           {"queue_full", http.StatusServiceUnavailable, RanNo, true, time.Second},
 	Overloaded:          {"overloaded", http.StatusServiceUnavailable, RanNo, true, 200 * time.Millisecond},
 	PoolExhausted:       {"pool_exhausted", http.StatusServiceUnavailable, RanNo, true, 2 * time.Second},
-	Withheld:            {"withheld", http.StatusServiceUnavailable, RanNo, true, withheldWait},
+	Withheld:            {"withheld", http.StatusServiceUnavailable, RanNo, true, withheldRetryAfter},
 	DeadlineUnmeetable:  {"deadline_unmeetable", http.StatusServiceUnavailable, RanNo, true, time.Second},
 	Leaving:             {"leaving", http.StatusServiceUnavailable, RanNo, true, time.Second},
 	OwnerAway:           {"owner_away", http.StatusServiceUnavailable, RanNo, true, 5 * time.Second},
@@ -231,7 +231,7 @@
 func (e *Error) Unwrap() error { return e.Cause }
 
 // Wait returns when to come back: the error's own time or the table's.
-func (e *Error) Wait() time.Duration {
+func (e *Error) RetryDelay() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
 	}
--- a/internal/failure/failure_test.go
+++ b/internal/failure/failure_test.go
@@ -65,12 +65,12 @@
 	}
 }
 
-func TestWaitsAreRead(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	is := is.New(t)
-	is.Equal(ParseWait("3"), 3*time.Second)
-	is.Equal(ParseWait(" 0.25 "), 250*time.Millisecond)
-	is.Equal(ParseWait("1e300"), 24*time.Hour)
-	for _, none := range []string{"", "0", "-1", "NaN", "soon", "Wed, 21 Oct 2015 07:28:00 GMT"} {
-		is.Equal(ParseWait(none), time.Duration(0))
+	is.Equal(ParseRetryAfter("3"), 3*time.Second)
+	is.Equal(ParseRetryAfter(" 0.25 "), 250*time.Millisecond)
+	is.Equal(ParseRetryAfter("1e300"), 24*time.Hour)
+	for _, header := range []string{"", "0", "-1", "NaN", "soon", "Wed, 21 Oct 2015 07:28:00 GMT"} {
+		is.Equal(ParseRetryAfter(header), time.Duration(0))
 	}
 }
--- a/internal/failure/http.go
+++ b/internal/failure/http.go
@@ -41,7 +41,7 @@
 		Type:              answer.Name,
 		Ran:               answer.Ran,
 		Retry:             answer.Retry,
-		RetryAfterSeconds: typed.Wait().Seconds(),
+		RetryAfterSeconds: typed.RetryDelay().Seconds(),
 	}}
 }
 
@@ -53,15 +53,15 @@
 
 // WriteHTTPWith is WriteHTTP with another form of the Retry-After header, for
 // callers that understand fractions of a second.
-func WriteHTTPWith(w http.ResponseWriter, err error, formatWait func(time.Duration) string) {
+func WriteHTTPWith(w http.ResponseWriter, err error, formatRetryAfter func(time.Duration) string) {
 	typed := From(err)
 	answer := typed.Kind.Answer()
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderKind, answer.Name)
 	header.Set(HeaderRan, string(answer.Ran))
-	if wait := typed.Wait(); answer.Retry && wait > 0 {
-		header.Set("Retry-After", formatWait(wait))
+	if wait := typed.RetryDelay(); answer.Retry && wait > 0 {
+		header.Set("Retry-After", formatRetryAfter(wait))
 	}
 	w.WriteHeader(answer.Status)
 	// The caller may have left; there is nobody else to tell.
@@ -69,16 +69,16 @@
 }
 
 // longestWait bounds what ParseWait returns.
-const longestWait = 24 * time.Hour
+const maxRetryAfter = 24 * time.Hour
 
 // ParseWait reads a Retry-After header in seconds, with fractions or without. It returns 0 where
 // there is none, and for what isn't a time to wait.
-func ParseWait(header string) time.Duration {
+func ParseRetryAfter(header string) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(header), 64)
 	if err != nil || !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(min(seconds, longestWait.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
 // retryAfterSeconds rounds up to whole seconds, as the header requires.
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -337,14 +337,14 @@
 		f.config.Metrics.Tagged(map[string]string{"what": what}).Counter("reads_failed").Inc(1)
 		f.closeIdleConnections(err)
 		if !f.storeLost.Swap(true) {
-			f.config.Log.Urgent(eventlog.StoreLost, logrus.Fields{"what": what, "cause": err.Error()})
+			f.config.Log.Warn(eventlog.StoreLost, logrus.Fields{"what": what, "cause": err.Error()})
 		}
 		return
 	}
 	f.config.State.StoreAnswered()
 	f.watches.noteAnswer()
 	if f.storeLost.Swap(false) {
-		f.config.Log.Urgent(eventlog.StoreRegained, logrus.Fields{"what": what})
+		f.config.Log.Warn(eventlog.StoreRegained, logrus.Fields{"what": what})
 	}
 }
 
--- a/internal/gateway/eras.go
+++ b/internal/gateway/eras.go
@@ -33,7 +33,7 @@
 	close(s.eraChanged)
 	s.eraChanged = make(chan struct{})
 	if before > 0 {
-		s.log.Urgent(eventlog.StoreRestored, logrus.Fields{"era": era, "before": before})
+		s.log.Warn(eventlog.StoreRestored, logrus.Fields{"era": era, "before": before})
 		s.announce()
 	}
 }
--- a/internal/gateway/evacuations.go
+++ b/internal/gateway/evacuations.go
@@ -72,7 +72,7 @@
 			event = eventlog.ZoneRestored
 			restored = append(restored, each)
 		}
-		s.log.Urgent(event, logrus.Fields{"zone": each.Zone, "era": each.Era, "revision": each.Revision, "source": source})
+		s.log.Warn(event, logrus.Fields{"zone": each.Zone, "era": each.Era, "revision": each.Revision, "source": source})
 	}
 	s.core.SetEvacuated(s.clock.Now(), s.view.EvacuatedZones(), restored)
 	s.announce()
--- a/internal/gateway/notice.go
+++ b/internal/gateway/notice.go
@@ -26,7 +26,7 @@
 	if !isNew {
 		return
 	}
-	h.config.Log.Urgent(eventlog.BackEndNotice, logrus.Fields{
+	h.config.Log.Warn(eventlog.BackEndNotice, logrus.Fields{
 		"back_end": send.BackEnd.ID, "service": send.BackEnd.Service, "address": send.BackEnd.Address, "source": SourceOwn,
 		"request": c.facts.ID, "status": status, "leaving": facts.Leaving, "rest_ms": notice.RetryAfter.Milliseconds(),
 	})
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -27,10 +27,10 @@
 	if resumeAfter != "" {
 		fields := h.sendFields(c, decision)
 		fields["resume_after"] = resumeAfter
-		h.config.Log.Urgent(eventlog.RequestResumed, fields)
+		h.config.Log.Warn(eventlog.RequestResumed, fields)
 		return
 	}
-	written := h.config.Log.Ordinary(eventlog.RequestSent, func() logrus.Fields { return h.sendFields(c, decision) })
+	written := h.config.Log.Info(eventlog.RequestSent, func() logrus.Fields { return h.sendFields(c, decision) })
 	if !written {
 		c.unloggedSends = append(c.unloggedSends, decision)
 	}
@@ -60,7 +60,7 @@
 	for _, decision := range c.unloggedSends {
 		fields := h.sendFields(c, decision)
 		fields["decided_at"] = decision.at.Format(time.RFC3339Nano)
-		h.config.Log.Urgent(eventlog.RequestSent, fields)
+		h.config.Log.Warn(eventlog.RequestSent, fields)
 	}
 	c.unloggedSends = nil
 }
@@ -120,7 +120,7 @@
 	default:
 		fields["next"] = nextPassOn
 	}
-	h.config.Log.Urgent(eventlog.RequestRetried, fields)
+	h.config.Log.Warn(eventlog.AttemptFailed, fields)
 }
 
 // isCallersFault reports whether only the caller can correct the refused request. Such log
@@ -150,12 +150,12 @@
 	}
 	switch {
 	case kind == failure.CallerGone || c.request.Context().Err() != nil:
-		h.config.Log.Ordinary(eventlog.CallerLeft, fields)
+		h.config.Log.Info(eventlog.CallerLeft, fields)
 	case isCallersFault(kind):
-		h.config.Log.Ordinary(eventlog.RequestRefused, fields)
+		h.config.Log.Info(eventlog.RequestRefused, fields)
 	default:
 		h.logUnloggedSends(c)
-		h.config.Log.Urgent(eventlog.RequestRefused, fields())
+		h.config.Log.Warn(eventlog.RequestRefused, fields())
 	}
 }
 
@@ -169,11 +169,11 @@
 		return fields
 	}
 	if c.request.Context().Err() != nil {
-		h.config.Log.Ordinary(eventlog.CallerLeft, fields)
+		h.config.Log.Info(eventlog.CallerLeft, fields)
 		return
 	}
 	h.logUnloggedSends(c)
-	h.config.Log.Urgent(eventlog.RequestFailed, fields())
+	h.config.Log.Warn(eventlog.RequestFailed, fields())
 }
 
 // logDone logs an answer that was passed on completely. If it took more than one attempt or
@@ -189,10 +189,10 @@
 	}
 	if c.exchange.Attempts() > 1 || result.answer.StatusCode >= serverFailure {
 		h.logUnloggedSends(c)
-		h.config.Log.Urgent(eventlog.RequestDone, fields())
+		h.config.Log.Warn(eventlog.RequestAnswered, fields())
 		return
 	}
-	h.config.Log.Ordinary(eventlog.RequestDone, fields)
+	h.config.Log.Info(eventlog.RequestAnswered, fields)
 }
 
 // serverFailure is the first status code that reports a failure of the back end.
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -42,7 +42,7 @@
 		return
 	}
 	for _, each := range changed {
-		s.log.Urgent(eventlog.RolloutChanged, logrus.Fields{
+		s.log.Warn(eventlog.RolloutChanged, logrus.Fields{
 			"service": each.Service, "target": each.Target, "duration": each.Duration.String(), "state": each.State.String(),
 			"withdrawn": each.Withdrawn, "era": each.Era, "revision": each.Revision, "source": source,
 		})
@@ -69,7 +69,7 @@
 func (s *State) logRolloutChanges() {
 	for _, each := range s.core.TakeRolloutChanges() {
 		fields := logrus.Fields{"service": each.Order.Service, "target": each.Order.Target}
-		event := eventlog.RolloutBegan
+		event := eventlog.RolloutStarted
 		switch each.Step {
 		case dispatch.RolloutBegan:
 			fields["duration"] = each.Order.Duration.String()
@@ -86,7 +86,7 @@
 		case dispatch.RolloutEnded:
 			event = eventlog.RolloutEnded
 		}
-		s.log.Urgent(event, fields)
+		s.log.Warn(event, fields)
 	}
 }
 
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -171,7 +171,7 @@
 // OfferConfiguration adopts a configuration from the store or a peer if it is valid and newer.
 func (s *State) OfferConfiguration(configuration *catalog.Configuration, source string) {
 	if err := configuration.Check(); err != nil {
-		s.log.Urgent(eventlog.Misconfigured, logrus.Fields{"version": configuration.Version, "source": source, "cause": err.Error()})
+		s.log.Warn(eventlog.ConfigurationRefused, logrus.Fields{"version": configuration.Version, "source": source, "cause": err.Error()})
 		return
 	}
 	s.mutex.Lock()
@@ -185,7 +185,7 @@
 	}
 	s.core.SetServices(configuration.Services)
 	s.announce()
-	s.log.Urgent(eventlog.Configured, logrus.Fields{
+	s.log.Warn(eventlog.ConfigurationAdopted, logrus.Fields{
 		"version": configuration.Version, "before": before, "source": source,
 		"routes": len(configuration.Routes), "tenants": len(configuration.Tenants),
 	})
@@ -243,7 +243,7 @@
 	s.core.SetBackEnds(s.clock.Now(), s.view.BackEnds())
 	s.announce()
 	for _, entry := range changed {
-		s.log.Urgent(eventlog.BackEndChanged, logrus.Fields{
+		s.log.Warn(eventlog.BackEndChanged, logrus.Fields{
 			"back_end": entry.BackEnd.ID, "service": entry.BackEnd.Service, "address": entry.BackEnd.Address,
 			"leaving": entry.BackEnd.Leaving, "gone": entry.Gone, "era": entry.Era, "revision": entry.Revision, "source": source,
 		})
@@ -255,7 +255,7 @@
 func (s *State) announce() {
 	if !s.wasReady && s.canServe() {
 		s.wasReady = true
-		s.log.Urgent(eventlog.Ready, logrus.Fields{"version": s.view.Version(), "back_ends": len(s.view.BackEnds())})
+		s.log.Warn(eventlog.Ready, logrus.Fields{"version": s.view.Version(), "back_ends": len(s.view.BackEnds())})
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -311,7 +311,7 @@
 	s.announceIncarnations()
 	s.mutex.Unlock()
 	for _, change := range changes {
-		s.log.Urgent(eventlog.BackEndHealth, logrus.Fields{
+		s.log.Warn(eventlog.BackEndHealth, logrus.Fields{
 			"back_end": change.BackEnd, "from": change.From.String(), "to": change.To.String(),
 			"failures": change.Failures, "error_rate": change.ErrorRate,
 		})
--- a/internal/gateway/unreadable.go
+++ b/internal/gateway/unreadable.go
@@ -67,7 +67,7 @@
 	if !s.unreadable.note(object) {
 		return false
 	}
-	s.log.Urgent(eventlog.ObjectUnreadable, logrus.Fields{
+	s.log.Warn(eventlog.ObjectUnreadable, logrus.Fields{
 		"kind": string(object.Kind), "name": object.Name, "era": object.At.Era, "revision": object.At.Revision, "reason": string(object.Reason),
 	})
 	return true
--- a/internal/gateway/update.go
+++ b/internal/gateway/update.go
@@ -155,7 +155,7 @@
 	if s.documentVersion != s.view.Version() {
 		encoded, err := cbor.Marshal(s.view.Index().Configuration())
 		if err != nil {
-			s.log.Urgent(eventlog.Misconfigured, logrus.Fields{"version": s.view.Version(), "cause": err.Error()})
+			s.log.Warn(eventlog.ConfigurationRefused, logrus.Fields{"version": s.view.Version(), "cause": err.Error()})
 			return nil
 		}
 		s.document, s.documentVersion = encoded, s.view.Version()
@@ -217,7 +217,7 @@
 	defer s.mutex.Unlock()
 	changed, isNew := s.core.MergeLeaving(s.clock.Now(), incarnations)
 	for _, id := range changed {
-		s.log.Urgent(eventlog.BackEndNotice, logrus.Fields{"back_end": id, "leaving": true, "source": SourcePeer})
+		s.log.Warn(eventlog.BackEndNotice, logrus.Fields{"back_end": id, "leaving": true, "source": SourcePeer})
 	}
 	if isNew {
 		s.announce()
--- a/internal/gateway/withheld.go
+++ b/internal/gateway/withheld.go
@@ -26,7 +26,7 @@
 			source = SourceOwn
 			s.queueUnrecorded(each)
 		}
-		s.log.Urgent(event, logrus.Fields{
+		s.log.Warn(event, logrus.Fields{
 			"fingerprint": each.Record.Fingerprint.String(), "back_ends": len(each.Record.Incarnations), "source": source,
 		})
 	}
@@ -36,7 +36,7 @@
 // oldest is dropped; peers still receive it.
 func (s *State) queueUnrecorded(change dispatch.WithheldChange) {
 	if len(s.unrecorded) >= maxUnrecorded {
-		s.log.Urgent(eventlog.RecordGivenUp, logrus.Fields{"fingerprint": s.unrecorded[0].Record.Fingerprint.String()})
+		s.log.Warn(eventlog.RecordAbandoned, logrus.Fields{"fingerprint": s.unrecorded[0].Record.Fingerprint.String()})
 		s.unrecorded = s.unrecorded[1:]
 	}
 	s.unrecorded = append(s.unrecorded, change)
--- a/internal/relay/receive.go
+++ b/internal/relay/receive.go
@@ -123,7 +123,7 @@
 func (r *Relay) applyDocument(message Message) {
 	var configuration catalog.Configuration
 	if err := cbor.Unmarshal(message.Document, &configuration); err != nil {
-		r.config.Log.Urgent(eventlog.Misconfigured, logrus.Fields{"version": message.Version, "source": message.From, "cause": err.Error()})
+		r.config.Log.Warn(eventlog.ConfigurationRefused, logrus.Fields{"version": message.Version, "source": message.From, "cause": err.Error()})
 		return
 	}
 	r.config.State.OfferConfiguration(&configuration, gateway.SourcePeer)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -82,7 +82,7 @@
 	exchange, _ := noBudget.Begin(start, request("free"))
 	decision := noBudget.Refused(start, exchange, refusal(failure.OverBound))
 	is.Equal(decision.GiveUp.Kind, failure.OverBound)
-	is.Equal(decision.GiveUp.Wait(), 700*time.Millisecond) // the wait that the refusal stated
+	is.Equal(decision.GiveUp.RetryDelay(), 700*time.Millisecond) // the wait that the refusal stated
 	late := newRouter(t, nil)
 	exchange, _ = late.Begin(start, request("free"))
 	is.Equal(late.Refused(start.Add(2*time.Minute), exchange, refusal(failure.OverBound)).GiveUp.Kind, failure.DeadlineUnmeetable)
@@ -97,7 +97,7 @@
 	}
 	_, decision := core.Begin(start, request("t"))
 	is.Equal(decision.GiveUp.Kind, failure.RateLimited)
-	is.Equal(decision.GiveUp.Wait(), 100*time.Millisecond)
+	is.Equal(decision.GiveUp.RetryDelay(), 100*time.Millisecond)
 	_, decision = core.Begin(start, request("free"))
 	is.True(decision.Send != nil) // another tenant isn't affected
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -197,5 +197,5 @@
 		route.Refused(start, attempt.BackEnd, Refusal{Kind: failure.OverBound, RetryAfter: wait})
 	}
 	is.Equal(route.GiveUp().Kind, failure.PoolExhausted)
-	is.Equal(route.GiveUp().Wait(), time.Second)
+	is.Equal(route.GiveUp().RetryDelay(), time.Second)
 }
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -164,7 +164,7 @@
 // gaveUp checks that a final refusal comes at once and with a time to come back.
 func (c *checks) gaveUp(n *node, r *request, answer *failure.Error) {
 	row := answer.Kind.Answer()
-	if row.Retry && answer.Wait() <= 0 {
+	if row.Retry && answer.RetryDelay() <= 0 {
 		c.fail(PromiseAtOnce, "%s was given up as %v without a time to come back", r.id, answer.Kind)
 	}
 	wasQueued := answer.Kind == failure.DeadlineUnmeetable || answer.Kind == failure.QueueFull
--- a/internal/simulation/exchange.go
+++ b/internal/simulation/exchange.go
@@ -101,7 +101,7 @@
 	if decision.GiveUp != nil {
 		n.s.measure.gaveUp(n, r, decision.GiveUp.Kind)
 		n.s.checks.gaveUp(n, r, decision.GiveUp)
-		n.answer(r, outcome{kind: decision.GiveUp.Kind, wait: decision.GiveUp.Wait()})
+		n.answer(r, outcome{kind: decision.GiveUp.Kind, wait: decision.GiveUp.RetryDelay()})
 		return
 	}
 	n.dispatch(r, decision.Send)
