--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -150,7 +150,7 @@
 	if len(result.Violations) == 0 {
 		return nil
 	}
-	for _, struck := range result.Struck {
+	for _, struck := range result.FaultLog {
 		if _, err := fmt.Fprintf(output, "  %s\n", struck); err != nil {
 			return err
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -33,7 +33,7 @@
 	engineCount  = 2
 	serviceCount = 1
 	// readyWithin is how long the fleet may take to come up.
-	readyWithin = 20 * time.Second
+	readyTimeout = 20 * time.Second
 )
 
 // Fleet is a running demo.
@@ -219,7 +219,7 @@
 
 // awaitReady waits until every node takes work.
 func (f *Fleet) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
@@ -236,7 +236,7 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return errors.Errorf("%d of %d nodes are ready after %v", ready, len(f.nodes), readyWithin)
+			return errors.Errorf("%d of %d nodes are ready after %v", ready, len(f.nodes), readyTimeout)
 		}
 	}
 }
--- a/internal/demo/gateways.go
+++ b/internal/demo/gateways.go
@@ -188,7 +188,7 @@
 }
 
 func (g *Gateways) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, admin := range g.Admins {
 		if err := awaitOK(ctx, "http://"+admin+"/readyz"); err != nil {
@@ -238,7 +238,7 @@
 func (g *Gateways) Curl(gateway int, path, prompt string) string {
 	const id = "REQUEST-ID"
 	header := http.Header{}
-	g.protocol.WriteAsk(header, wire.Ask{Request: id, Key: GatewayKey, Timeout: callerTimeout, Prompt: prompt})
+	g.protocol.WriteCallerRequest(header, wire.CallerRequest{Request: id, Key: GatewayKey, Timeout: callerTimeout, Prompt: prompt})
 	command := fmt.Sprintf("curl -sN http://%s%s -H 'Host: %s'", g.Callers[gateway], path, GatewayHost)
 	for _, name := range slices.Sorted(maps.Keys(header)) {
 		command += fmt.Sprintf(" -H \"%s: %s\"", name, strings.ReplaceAll(header.Get(name), id, "$RANDOM$RANDOM"))
--- a/internal/demo/standins.go
+++ b/internal/demo/standins.go
@@ -59,7 +59,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	answer := wire.StoreAnswer[any]{Watch: call.Watch, At: 1}
+	answer := wire.StoreAnswer[any]{Watch: call.Watch, Revision: 1}
 	switch {
 	case call.Watch:
 	case call.Kind == wire.Configurations:
--- a/internal/objectstore/publish.go
+++ b/internal/objectstore/publish.go
@@ -76,9 +76,9 @@
 	_, err = p.objects.Put(ctx, BundleKey, raw, version)
 	switch failure.KindOf(err) {
 	case failure.PlatformUnavailable:
-		err = p.settle(ctx, next, err)
+		err = p.resolveLostAnswer(ctx, next, err)
 	case failure.Conflict:
-		err = p.conflict(ctx, next)
+		err = p.resolveConflict(ctx, next)
 	}
 	if err != nil {
 		return nil, err
@@ -105,15 +105,15 @@
 }
 
 const (
-	settleAttempts = 10
-	settlePause    = 500 * time.Millisecond
+	readBackAttempts = 10
+	readBackPause    = 500 * time.Millisecond
 )
 
 // settle finds out whether a write with a lost answer took effect: the writer's
 // own identifier stands in the object if so.
-func (p *Publisher) settle(ctx context.Context, next *bundle.Bundle, lost error) error {
-	for range settleAttempts {
-		if err := p.pause(ctx, settlePause); err != nil {
+func (p *Publisher) resolveLostAnswer(ctx context.Context, next *bundle.Bundle, lost error) error {
+	for range readBackAttempts {
+		if err := p.pause(ctx, readBackPause); err != nil {
 			return failure.Wrap(failure.PlatformUnavailable, lost, "it is not known whether the bundle was published; run `bundle publish` with the same file again")
 		}
 		current, _, err := p.Current(ctx)
@@ -124,7 +124,7 @@
 			return nil
 		}
 		if current != nil && current.Number >= next.Number {
-			return p.conflict(ctx, next)
+			return p.resolveConflict(ctx, next)
 		}
 		return failure.Wrap(failure.PlatformUnavailable, lost, "the bundle is not published so far; run `bundle publish` with the same file again")
 	}
@@ -133,7 +133,7 @@
 
 // conflict tells the loser of a race who won. A transport may have delivered
 // the writer's own update before it reported a conflict, so that is checked.
-func (p *Publisher) conflict(ctx context.Context, next *bundle.Bundle) error {
+func (p *Publisher) resolveConflict(ctx context.Context, next *bundle.Bundle) error {
 	current, _, err := p.Current(ctx)
 	if err != nil {
 		return err
--- a/internal/objectstore/publish_test.go
+++ b/internal/objectstore/publish_test.go
@@ -43,7 +43,7 @@
 	return raw
 }
 
-func TestSecondOfTwoRacingOperatorsGetsAConflict(t *testing.T) {
+func TestPublishWithTakenNumberConflicts(t *testing.T) {
 	is := is.New(t)
 	store := standin.NewPlatform()
 	publisher := objectstore.NewPublisher(store, trusted(), time.Now)
@@ -73,7 +73,7 @@
 	return r.Objects.Put(ctx, name, value, expected)
 }
 
-func TestRaceBetweenReadAndWriteIsAConflict(t *testing.T) {
+func TestWriteBetweenReadAndPublishConflicts(t *testing.T) {
 	is := is.New(t)
 	store := standin.NewPlatform()
 	other := objectstore.NewPublisher(store, trusted(), time.Now)
@@ -86,7 +86,7 @@
 	is.True(strings.Contains(err.Error(), "another operator published number 1"))
 }
 
-func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
+func TestPublishReadsBackAfterLostAnswer(t *testing.T) {
 	bubble.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := standin.NewPlatform()
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestChangeOfMembersNeedsItsHandover(t *testing.T) {
+func TestMemberChangeRequiresHandovers(t *testing.T) {
 	is := is.New(t)
 	store := standin.NewPlatform()
 	publisher := objectstore.NewPublisher(store, trusted(), time.Now)
@@ -126,7 +126,7 @@
 	is.NoErr(err)
 }
 
-func TestHTTPClientSpeaksTheObjectAPI(t *testing.T) {
+func TestHTTPClientImplementsObjectAPI(t *testing.T) {
 	is := is.New(t)
 	store := standin.NewPlatform()
 	server := httptest.NewServer(store.Handler())
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -27,13 +27,13 @@
 	mutex sync.Mutex
 	// incarnation is part of its ID, and life rises with every start, also under the same
 	// ID. born is when this life began.
+	idNumber    int
 	incarnation int
-	life        int
 	born        time.Time
 	leaving     bool
 	// version is that of its software, and ill is what is wrong with it.
 	version string
-	ill     illness
+	defect  versionDefect
 	// coldUntil is when this incarnation is warm, and starting is set until it is up.
 	coldUntil time.Time
 	starting  bool
@@ -51,21 +51,21 @@
 	plainWork  = 30 * time.Millisecond
 	eventPause = 25 * time.Millisecond
 	// fewestEvents and moreEvents bound the length of a stream.
-	fewestEvents = 4
-	moreEvents   = 12
+	minEvents   = 4
+	eventCounts = 12
 )
 
 func (b *backEnd) id() string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return fmt.Sprintf("%s-%d", b.name, b.incarnation)
+	return fmt.Sprintf("%s-%d", b.name, b.idNumber)
 }
 
 // lifeNow returns the number of the life of the moment.
-func (b *backEnd) lifeNow() int {
+func (b *backEnd) currentIncarnation() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.life
+	return b.incarnation
 }
 
 // nameOf returns the name of the back end with an incarnation.
@@ -90,7 +90,7 @@
 }
 
 // misbehave changes one of the counts of faults.
-func (b *backEnd) misbehave(count func(*backEnd) *int, by int) {
+func (b *backEnd) changeFaults(count func(*backEnd) *int, by int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	*count(b) += by
@@ -118,7 +118,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	acts := b.behaviour()
-	version, ill := b.software()
+	version, defect := b.software()
 	arrival := arrival{
 		request: forwarded.Request, backEnd: b.id(), zone: b.zone, version: version, at: time.Now(),
 		tenant: forwarded.Tenant, resumed: forwarded.ResumeAfter != "",
@@ -128,10 +128,10 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	b.speak(w.Header(), forwarded)
+	b.writeNotices(w.Header(), forwarded)
 	if acts.rest {
 		b.fleet.check.arrived(arrival)
-		b.askForRest(w, forwarded)
+		b.refuseWithRetryAfter(w, forwarded)
 		return
 	}
 	if acts.refuse {
@@ -144,10 +144,10 @@
 	arrival.changed = string(body) != bodyOf(forwarded.Request, r.Method)
 	b.fleet.check.arrived(arrival)
 	if isCrashing(r.URL.Path) {
-		b.crashUnder(r)
+		b.crashDuring(r)
 	}
-	if ill.strikes(forwarded.Request, arrival.at) {
-		b.fleet.check.failedByVersion(version)
+	if defect.affects(forwarded.Request, arrival.at) {
+		b.fleet.check.versionFailed(version)
 		acts.fail = true
 	}
 	b.run(w, r, forwarded, acts)
@@ -229,5 +229,5 @@
 func eventsOf(request string) int {
 	hash := fnv.New32a()
 	_, _ = io.WriteString(hash, request)
-	return fewestEvents + int(hash.Sum32()%moreEvents)
+	return minEvents + int(hash.Sum32()%eventCounts)
 }
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -16,7 +16,7 @@
 )
 
 // silentLog drops what servers say of broken connections.
-func silentLog() *log.Logger { return log.New(io.Discard, "", 0) }
+func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
 // caller sends one request after the other and tells the checks what it got. It
 // keeps its connections while they live.
@@ -32,7 +32,7 @@
 	// thinkTime is the mean pause between two requests of a caller.
 	thinkTime = 150 * time.Millisecond
 	// callerPatience is how long a caller waits beyond its request's time.
-	callerPatience = 2 * time.Second
+	callerGrace = 2 * time.Second
 	// prompts is the number of shared prompt parts.
 	prompts = 12
 )
@@ -57,7 +57,7 @@
 func (c *caller) call(ctx context.Context) {
 	g := c.fleet.gateways[c.random.IntN(len(c.fleet.gateways))]
 	c.count++
-	sent := sending{
+	sent := sentRequest{
 		request: fmt.Sprintf("c%d-%d", c.number, c.count), gateway: g.id,
 		prefix: c.choosePrefix(), key: keys[c.random.IntN(len(keys))], at: time.Now(),
 	}
@@ -68,7 +68,7 @@
 	c.fleet.check.sent(sent)
 	got := c.send(ctx, g, sent, prompt)
 	got.at = time.Now()
-	c.fleet.check.got(sent, got)
+	c.fleet.check.received(sent, got)
 }
 
 func (c *caller) choosePrefix() string {
@@ -76,7 +76,7 @@
 	return prefixes[c.random.IntN(len(prefixes))]
 }
 
-func (c *caller) send(ctx context.Context, g *gatewayState, sent sending, prompt string) reply {
+func (c *caller) send(ctx context.Context, g *gatewayState, sent sentRequest, prompt string) reply {
 	method := http.MethodPost
 	if sent.prefix == prefixRepeat {
 		method = http.MethodGet
@@ -85,8 +85,8 @@
 }
 
 // sendTo sends a request with the path and reads its answer.
-func (c *caller) sendTo(ctx context.Context, g *gatewayState, sent sending, method, path, prompt string) reply {
-	ctx, cancel := context.WithTimeout(ctx, routeTimeout+callerPatience)
+func (c *caller) sendTo(ctx context.Context, g *gatewayState, sent sentRequest, method, path, prompt string) reply {
+	ctx, cancel := context.WithTimeout(ctx, routeTimeout+callerGrace)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+g.callers+path, strings.NewReader(bodyOf(sent.request, method)))
 	if err != nil {
@@ -96,10 +96,10 @@
 		request.Body, request.ContentLength, request.GetBody = nil, 0, nil
 	}
 	request.Host = host
-	c.fleet.environment.Protocol().WriteAsk(request.Header, wire.Ask{Request: sent.request, Key: sent.key, Timeout: routeTimeout, Prompt: prompt})
+	c.fleet.environment.Protocol().WriteCallerRequest(request.Header, wire.CallerRequest{Request: sent.request, Key: sent.key, Timeout: routeTimeout, Prompt: prompt})
 	response, err := c.client.Do(request)
 	if err != nil {
-		return reply{cause: err.Error(), late: ctx.Err() != nil}
+		return reply{cause: err.Error(), timedOut: ctx.Err() != nil}
 	}
 	defer response.Body.Close()
 	got := reply{
@@ -107,7 +107,7 @@
 		stamp: c.fleet.environment.Protocol().ReadStamp(response.Header),
 	}
 	if isStream(sent.prefix) && response.StatusCode == http.StatusOK {
-		got.events, got.fault, err = readEvents(response.Body, sent.request)
+		got.events, got.orderError, err = readEvents(response.Body, sent.request)
 	} else {
 		var text []byte
 		text, err = io.ReadAll(response.Body)
@@ -122,19 +122,19 @@
 
 // readEvents reads a stream to its end and tells how many events it had and the
 // first that wasn't the next one.
-func readEvents(body io.Reader, request string) (count int, fault string, err error) {
+func readEvents(body io.Reader, request string) (count int, orderError string, err error) {
 	reader := eventstream.NewReader(bufio.NewReader(body))
 	for {
 		event, err := reader.Next()
 		if err == io.EOF {
-			return count, fault, nil
+			return count, orderError, nil
 		}
 		if err != nil {
-			return count, fault, err
+			return count, orderError, err
 		}
 		count++
-		if want := eventOf(request, count); string(event.Raw) != want && fault == "" {
-			fault = fmt.Sprintf("event %d is %q", count, event.Raw)
+		if want := eventOf(request, count); string(event.Raw) != want && orderError == "" {
+			orderError = fmt.Sprintf("event %d is %q", count, event.Raw)
 		}
 	}
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -18,19 +18,19 @@
 const (
 	PromiseOwn           Promise = "whole and own answers"
 	PromiseOrder         Promise = "streams in order"
-	PromiseAsked         Promise = "only what was asked"
+	PromiseUnaltered     Promise = "only what was asked"
 	PromiseNotRun        Promise = "not run is true"
 	PromiseOnce          Promise = "at most once"
 	PromiseAttempts      Promise = "attempts within the route"
 	PromiseBudget        Promise = "retries within the budget"
 	PromiseLeaving       Promise = "leaving"
 	PromiseNotice        Promise = "leaving, told in answers"
-	PromiseRest          Promise = "rest that was asked for"
+	PromiseRetryAfter    Promise = "rest that was asked for"
 	PromiseEvacuation    Promise = "evacuations"
 	PromiseWarmUp        Promise = "warm-up"
 	PromiseConfiguration Promise = "configuration"
-	PromiseKept          Promise = "no request lost"
-	PromiseAtOnce        Promise = "given up in time, with a time to come back"
+	PromiseNoneLost      Promise = "no request lost"
+	PromiseTimely        Promise = "given up in time, with a time to come back"
 	PromiseRecovery      Promise = "recovery"
 	PromiseWithheld      Promise = "what crashes back ends is withheld"
 	PromiseStart         Promise = "gateways start"
@@ -47,7 +47,7 @@
 }
 
 // sending is a request as its caller sent it.
-type sending struct {
+type sentRequest struct {
 	request, gateway, prefix, key string
 	at                            time.Time
 	// crashes is the path of a crashing request, or "".
@@ -63,11 +63,11 @@
 	body       string
 	events     int
 	// fault is the first event out of order.
-	fault string
+	orderError string
 	// whole is false when the answer broke off, late is true when the caller's
 	// patience ended first.
-	whole, late bool
-	cause       string
+	whole, timedOut bool
+	cause           string
 }
 
 // arrival is a request at a back end.
@@ -84,7 +84,7 @@
 const everywhere = "everywhere"
 
 // span is a trouble at a place. It lasts until ended is set.
-type span struct {
+type disturbance struct {
 	place    string
 	from, to time.Time
 	ended    bool
@@ -93,8 +93,8 @@
 	stopped bool
 }
 
-func (s *span) overlaps(from, to time.Time) bool {
-	return !s.from.After(to) && (!s.ended || !s.to.Before(from))
+func (d *disturbance) overlaps(from, to time.Time) bool {
+	return !d.from.After(to) && (!d.ended || !d.to.Before(from))
 }
 
 // version is a published configuration.
@@ -109,27 +109,27 @@
 	fleet   *fleet
 	started time.Time
 	// serving are tasks of faults that outlive their strike.
-	serving conc.WaitGroup
-
-	mutex     sync.Mutex
-	sends     map[string]sending
-	order     []string
-	replies   map[string]reply
-	arrivals  map[string][]arrival
-	repeats   []time.Time
-	spans     []*span
-	lives     map[string]time.Time
-	ends      map[string]*span
-	versions  []version
-	leavingAt map[string]time.Time
-	warmings  []warming
+	tasks conc.WaitGroup
+
+	mutex         sync.Mutex
+	sentRequests  map[string]sentRequest
+	order         []string
+	replies       map[string]reply
+	arrivals      map[string][]arrival
+	retries       []time.Time
+	disturbances  []*disturbance
+	gatewayStarts map[string]time.Time
+	outages       map[string]*disturbance
+	versions      []version
+	leavingAt     map[string]time.Time
+	warmUps       []warmUpPeriod
 	// crashes are the times at which back ends crashed under crashing requests, by path.
 	crashes map[string][]time.Time
 	// evacuations are all orders on zones so far.
 	evacuations []evacuation
 	notices     notices
 	// moves are all orders to move the service to another version.
-	moves      []*move
+	moveOrders []*moveOrder
 	recoverAt  time.Time
 	violations []Violation
 	counts     map[Promise]int
@@ -137,8 +137,8 @@
 
 func newChecker(f *fleet) *checker {
 	return &checker{
-		fleet: f, started: time.Now(), sends: map[string]sending{}, replies: map[string]reply{},
-		arrivals: map[string][]arrival{}, lives: map[string]time.Time{}, ends: map[string]*span{},
+		fleet: f, started: time.Now(), sentRequests: map[string]sentRequest{}, replies: map[string]reply{},
+		arrivals: map[string][]arrival{}, gatewayStarts: map[string]time.Time{}, outages: map[string]*disturbance{},
 		leavingAt: map[string]time.Time{}, counts: map[Promise]int{},
 		crashes: map[string][]time.Time{}, notices: newNotices(),
 	}
@@ -161,37 +161,37 @@
 }
 
 // trouble notes that a place is disturbed until the returned function is called.
-func (c *checker) trouble(place string) (over func()) {
-	return c.note(&span{place: place, from: time.Now()})
+func (c *checker) beginDisturbance(place string) (end func()) {
+	return c.addDisturbance(&disturbance{place: place, from: time.Now()})
 }
 
-func (c *checker) note(noted *span) (over func()) {
+func (c *checker) addDisturbance(added *disturbance) (end func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.spans = append(c.spans, noted)
-	return func() { c.end(noted) }
+	c.disturbances = append(c.disturbances, added)
+	return func() { c.endDisturbance(added) }
 }
 
-func (c *checker) end(noted *span) {
+func (c *checker) endDisturbance(ended *disturbance) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	noted.to, noted.ended = time.Now(), true
+	ended.to, ended.ended = time.Now(), true
 }
 
 // ending notes that a gateway is being ended, began that it starts.
-func (c *checker) ending(g *gatewayState, planned bool) {
+func (c *checker) gatewayStopping(g *gatewayState, planned bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.ends[g.id] = &span{place: g.id, from: time.Now(), planned: planned, stopped: true}
-	c.spans = append(c.spans, c.ends[g.id])
+	c.outages[g.id] = &disturbance{place: g.id, from: time.Now(), planned: planned, stopped: true}
+	c.disturbances = append(c.disturbances, c.outages[g.id])
 }
 
-func (c *checker) began(g *gatewayState) {
+func (c *checker) gatewayStarting(g *gatewayState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.lives[g.id] = time.Now()
-	if noted := c.ends[g.id]; noted != nil {
-		noted.to, noted.ended = time.Now(), true
+	c.gatewayStarts[g.id] = time.Now()
+	if outage := c.outages[g.id]; outage != nil {
+		outage.to, outage.ended = time.Now(), true
 	}
 }
 
@@ -215,21 +215,21 @@
 }
 
 // startedAgain notes that the back end's ID stands for another life, which isn't leaving.
-func (c *checker) startedAgain(id string) {
+func (c *checker) backEndRestarted(id string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delete(c.leavingAt, id)
 	c.forgetNotices(id)
 }
 
-func (c *checker) sent(s sending) {
+func (c *checker) sent(s sentRequest) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.sends[s.request] = s
+	c.sentRequests[s.request] = s
 	c.order = append(c.order, s.request)
 }
 
-func (c *checker) got(s sending, r reply) {
+func (c *checker) received(s sentRequest, r reply) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.replies[s.request] = r
@@ -241,7 +241,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(c.arrivals[a.request]) > 0 {
-		c.repeats = append(c.repeats, a.at)
+		c.retries = append(c.retries, a.at)
 	}
 	c.arrivals[a.request] = append(c.arrivals[a.request], a)
 	c.checkArrival(a)
@@ -250,25 +250,25 @@
 func (c *checker) expectRecovery(at time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.recoverAt = at.Add(contact)
+	c.recoverAt = at.Add(quietTime)
 }
 
 // inTouch tells whether nothing disturbed a gateway for the contact time before
 // from and until to.
-func (c *checker) inTouch(gateway string, from, to time.Time) bool {
-	from = from.Add(-contact)
-	return !c.disturbed(from, to, gateway, everywhere) && c.lives[gateway].Before(from)
+func (c *checker) undisturbed(gateway string, from, to time.Time) bool {
+	from = from.Add(-quietTime)
+	return !c.disturbed(from, to, gateway, everywhere) && c.gatewayStarts[gateway].Before(from)
 }
 
 // heldUp tells whether the link of the back end was in trouble of late: what a gateway sent
 // before may have waited there, and arrive later than any bound.
-func (c *checker) heldUp(a arrival) bool {
-	return c.disturbed(a.at.Add(-contact), a.at, linkOf(nameOf(a.backEnd)))
+func (c *checker) linkDisturbed(a arrival) bool {
+	return c.disturbed(a.at.Add(-quietTime), a.at, linkPlace(nameOf(a.backEnd)))
 }
 
 // disturbed tells whether a trouble at one of the places overlaps the time.
 func (c *checker) disturbed(from, to time.Time, places ...string) bool {
-	for _, each := range c.spans {
+	for _, each := range c.disturbances {
 		for _, place := range places {
 			if each.place == place && each.overlaps(from, to) {
 				return true
@@ -281,8 +281,8 @@
 // backEndsDisturbed tells whether any back end was in trouble in the time, or a
 // moment before.
 func (c *checker) backEndsDisturbed(from, to time.Time) bool {
-	for _, each := range c.spans {
-		if strings.HasPrefix(each.place, "b") && each.overlaps(from.Add(-contact), to) {
+	for _, each := range c.disturbances {
+		if strings.HasPrefix(each.place, "b") && each.overlaps(from.Add(-quietTime), to) {
 			return true
 		}
 	}
@@ -290,17 +290,17 @@
 }
 
 // strikes notes what struck, for the end of a failed run.
-type strikes struct {
+type faultLog struct {
 	mutex sync.Mutex
-	began time.Time
+	start time.Time
 	lines []string
 }
 
-func (s *strikes) note(line string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.began.IsZero() {
-		s.began = time.Now()
+func (l *faultLog) add(line string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.start.IsZero() {
+		l.start = time.Now()
 	}
-	s.lines = append(s.lines, fmt.Sprintf("%8.3f %s", time.Since(s.began).Seconds(), line))
+	l.lines = append(l.lines, fmt.Sprintf("%8.3f %s", time.Since(l.start).Seconds(), line))
 }
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -17,14 +17,14 @@
 	crashingContents = 3
 	// crashingGap is the time between two repeats, and crashingTime how much longer than
 	// the fault they go on: long enough for all gateways to know.
-	crashingGap  = 300 * time.Millisecond
-	crashingTime = 5 * time.Second
+	crashingGap       = 300 * time.Millisecond
+	crashingExtraTime = 5 * time.Second
 	// crashingPath stands in the path of all of them.
 	crashingPath = "crash-"
 	// crashesUntilKnown is the number of crashes under a content after which gateways in
 	// touch may send it crashingRetries times more.
-	crashesUntilKnown = 3
-	crashingRetries   = 3
+	crashesToDetect = 3
+	crashingRetries = 3
 )
 
 // isCrashing tells whether a request with the path crashes what runs it.
@@ -35,7 +35,7 @@
 	c := newCaller(f, -1-fault.Target)
 	defer c.client.CloseIdleConnections()
 	path := fmt.Sprintf("%s%s%d", prefixRepeat, crashingPath, fault.Target%crashingContents)
-	until := time.Now().Add(fault.For + crashingTime)
+	until := time.Now().Add(fault.For + crashingExtraTime)
 	for ctx.Err() == nil && time.Now().Before(until) {
 		c.callCrashing(ctx, path)
 		sleep(ctx, crashingGap)
@@ -46,24 +46,24 @@
 func (c *caller) callCrashing(ctx context.Context, path string) {
 	g := c.fleet.gateways[c.random.IntN(len(c.fleet.gateways))]
 	c.count++
-	sent := sending{
+	sent := sentRequest{
 		request: fmt.Sprintf("x%d-%d", c.number, c.count), gateway: g.id,
 		prefix: prefixRepeat, key: keys[0], at: time.Now(), crashes: path,
 	}
 	c.fleet.check.sent(sent)
 	got := c.sendTo(context.WithoutCancel(ctx), g, sent, http.MethodGet, path, "")
 	got.at = time.Now()
-	c.fleet.check.got(sent, got)
+	c.fleet.check.received(sent, got)
 }
 
 // crashUnder ends the back end after it has begun to run a crashing request.
-func (b *backEnd) crashUnder(r *http.Request) {
-	life := b.lifeNow()
+func (b *backEnd) crashDuring(r *http.Request) {
+	incarnation := b.currentIncarnation()
 	sleep(r.Context(), plainWork)
-	if b.lifeNow() == life && r.Context().Err() == nil {
+	if b.currentIncarnation() == incarnation && r.Context().Err() == nil {
 		b.fleet.check.crashed(r.URL.Path)
-		b.fleet.check.serving.Go(func() {
-			b.fleet.strikeBackEnd(context.Background(), b, Fault{Kind: CrashBackEnd, For: listedAfterCrash})
+		b.fleet.check.tasks.Go(func() {
+			b.fleet.injectAtBackEnd(context.Background(), b, Fault{Kind: CrashBackEnd, For: listedAfterCrash})
 		})
 	}
 	<-r.Context().Done()
@@ -82,15 +82,15 @@
 func (c *checker) judgeCrashing() {
 	late := map[string]int{}
 	for _, id := range c.order {
-		s := c.sends[id]
+		s := c.sentRequests[id]
 		crashes := c.crashes[s.crashes]
-		if s.crashes == "" || len(crashes) < crashesUntilKnown {
+		if s.crashes == "" || len(crashes) < crashesToDetect {
 			continue
 		}
 		slices.SortFunc(crashes, time.Time.Compare)
-		known := crashes[crashesUntilKnown-1].Add(contact + slack)
+		known := crashes[crashesToDetect-1].Add(quietTime + slack)
 		for _, each := range c.arrivals[id] {
-			if each.at.After(known) && c.inTouch(s.gateway, each.at, each.at) {
+			if each.at.After(known) && c.undisturbed(s.gateway, each.at, each.at) {
 				late[s.crashes]++
 			}
 		}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -93,7 +93,7 @@
 	warmUpOverage = 1.5
 	warmUpExtra   = 2
 	// contact is how long a gateway must have been untouched to be held to a bound.
-	contact = 3 * time.Second
+	quietTime = 3 * time.Second
 	// routeTimeout bounds each request.
 	routeTimeout = 4 * time.Second
 	// retryRatio, retryExtra and retryWindow bound further attempts.
@@ -129,7 +129,7 @@
 	servers    []*http.Server
 	serving    conc.WaitGroup
 	check      *checker
-	struck     *strikes
+	faultLog   *faultLog
 
 	mutex   sync.Mutex
 	version uint64
@@ -140,7 +140,7 @@
 }
 
 func newFleet(options Options, environment Environment) (*fleet, error) {
-	f := &fleet{options: options, environment: environment, store: newStore(environment.Protocol()), struck: &strikes{}, evacuated: map[string]int{}}
+	f := &fleet{options: options, environment: environment, store: newStore(environment.Protocol()), faultLog: &faultLog{}, evacuated: map[string]int{}}
 	f.check = newChecker(f)
 	storeListener, err := environment.Listen()
 	if err != nil {
@@ -155,7 +155,7 @@
 		f.backEnds = append(f.backEnds, b)
 		f.store.putBackEnd(b.entry())
 	}
-	if options.draws(MoveService) {
+	if options.includes(MoveService) {
 		if err := f.addCandidates(); err != nil {
 			return nil, err
 		}
@@ -171,7 +171,7 @@
 }
 
 func (f *fleet) serve(listener net.Listener, handler http.Handler) {
-	server := &http.Server{Handler: handler, ErrorLog: silentLog()}
+	server := &http.Server{Handler: handler, ErrorLog: discardLog()}
 	f.servers = append(f.servers, server)
 	f.serving.Go(func() { _ = server.Serve(listener) })
 }
@@ -218,7 +218,7 @@
 
 func gatewaySettings(g *gatewayState, addresses [3]string, store string, seeds []string, options Options) string {
 	moves := ""
-	if options.draws(MoveService) {
+	if options.includes(MoveService) {
 		moves = fmt.Sprintf("exposure_share = %v\nexposure_extra = %v\n", exposureShare, exposureExtra)
 	}
 	return fmt.Sprintf(`role = "gateway"
@@ -257,7 +257,7 @@
 
 func (f *fleet) start() error {
 	for _, g := range f.gateways {
-		f.check.began(g)
+		f.check.gatewayStarting(g)
 		if err := g.gateway.Start(); err != nil {
 			return err
 		}
--- a/internal/soak/inprocess.go
+++ b/internal/soak/inprocess.go
@@ -73,14 +73,14 @@
 	settings    *settings.Settings
 	node        *daemon.Gateway
 	log         *eventlog.Log
-	wires       *cutter
+	network     *gatewayNetwork
 }
 
 func (g *inProcessGateway) Start() error {
-	g.wires = &cutter{network: g.environment.network, open: map[net.Conn]bool{}}
+	g.network = &gatewayNetwork{network: g.environment.network, open: map[net.Conn]bool{}}
 	g.log = eventlog.New(discard{}, logrus.InfoLevel, nil)
 	node, err := daemon.StartGateway(g.settings, daemon.GatewayEnvironment{
-		Adapter: g.environment.adapter, Listen: g.wires.Listen, Dial: g.wires.Dial, Log: g.log,
+		Adapter: g.environment.adapter, Listen: g.network.Listen, Dial: g.network.Dial, Log: g.log,
 	})
 	g.node = node
 	return err
@@ -90,7 +90,7 @@
 	if g.node == nil {
 		return
 	}
-	g.wires.cut()
+	g.network.disconnect()
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	g.node.Stop(ended)
@@ -105,7 +105,7 @@
 }
 
 func (g *inProcessGateway) end() {
-	g.wires.cut()
+	g.network.disconnect()
 	g.log.Close()
 	g.node = nil
 }
@@ -121,83 +121,83 @@
 
 // cutter is one gateway's way to the network; cut ends all of its connections and
 // lets it make no new ones.
-type cutter struct {
+type gatewayNetwork struct {
 	network *pipenet.Network
 
-	mutex     sync.Mutex
-	open      map[net.Conn]bool
-	listeners []net.Listener
-	dead      bool
+	mutex        sync.Mutex
+	open         map[net.Conn]bool
+	listeners    []net.Listener
+	disconnected bool
 }
 
-var errDead = errors.New("the gateway was killed")
+var errKilled = errors.New("the gateway was killed")
 
-func (c *cutter) Listen(network, address string) (net.Listener, error) {
-	listener, err := c.network.Listen(network, address)
+func (n *gatewayNetwork) Listen(network, address string) (net.Listener, error) {
+	listener, err := n.network.Listen(network, address)
 	if err != nil {
 		return nil, err
 	}
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.listeners = append(c.listeners, listener)
-	return cutListener{Listener: listener, cutter: c}, nil
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	n.listeners = append(n.listeners, listener)
+	return trackedListener{Listener: listener, network: n}, nil
 }
 
-func (c *cutter) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (n *gatewayNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	// Without the time that a real connection takes, a gateway that can't connect
 	// would try again in the same moment for ever.
 	sleep(ctx, time.Millisecond)
-	conn, err := c.network.Dial(ctx, network, address)
+	conn, err := n.network.Dial(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return c.note(conn)
+	return n.track(conn)
 }
 
-func (c *cutter) note(conn net.Conn) (net.Conn, error) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.dead {
+func (n *gatewayNetwork) track(conn net.Conn) (net.Conn, error) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	if n.disconnected {
 		_ = conn.Close()
-		return nil, errDead
+		return nil, errKilled
 	}
-	c.open[conn] = true
-	return cutConn{Conn: conn, cutter: c}, nil
+	n.open[conn] = true
+	return trackedConn{Conn: conn, network: n}, nil
 }
 
-func (c *cutter) cut() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.dead = true
-	for _, listener := range c.listeners {
+func (n *gatewayNetwork) disconnect() {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
+	n.disconnected = true
+	for _, listener := range n.listeners {
 		_ = listener.Close()
 	}
-	for conn := range c.open {
+	for conn := range n.open {
 		_ = conn.Close()
 	}
 }
 
-type cutListener struct {
+type trackedListener struct {
 	net.Listener
-	cutter *cutter
+	network *gatewayNetwork
 }
 
-func (l cutListener) Accept() (net.Conn, error) {
+func (l trackedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.cutter.note(conn)
+	return l.network.track(conn)
 }
 
-type cutConn struct {
+type trackedConn struct {
 	net.Conn
-	cutter *cutter
+	network *gatewayNetwork
 }
 
-func (c cutConn) Close() error {
-	c.cutter.mutex.Lock()
-	delete(c.cutter.open, c.Conn)
-	c.cutter.mutex.Unlock()
+func (c trackedConn) Close() error {
+	c.network.mutex.Lock()
+	delete(c.network.open, c.Conn)
+	c.network.mutex.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -9,10 +9,10 @@
 const slack = 300 * time.Millisecond
 
 // checkAnswer checks what one caller got by itself.
-func (c *checker) checkAnswer(s sending, r reply) {
+func (c *checker) checkAnswer(s sentRequest, r reply) {
 	switch {
-	case r.fault != "":
-		c.failLocked(PromiseOrder, "%s through %s: %s", s.request, s.gateway, r.fault)
+	case r.orderError != "":
+		c.failLocked(PromiseOrder, "%s through %s: %s", s.request, s.gateway, r.orderError)
 	case r.status != http.StatusOK || !r.whole:
 	case r.stamp == "":
 		c.failLocked(PromiseOwn, "%s through %s got an answer without a back end's mark", s.request, s.gateway)
@@ -25,33 +25,33 @@
 
 // checkArrival checks a request at a back end by itself.
 func (c *checker) checkArrival(a arrival) {
-	s, known := c.sends[a.request]
+	s, known := c.sentRequests[a.request]
 	switch {
 	case !known:
 		if a.ran {
-			c.failLocked(PromiseAsked, "%s ran %s, which nobody sent", a.backEnd, a.request)
+			c.failLocked(PromiseUnaltered, "%s ran %s, which nobody sent", a.backEnd, a.request)
 		}
 		return
 	case a.ran && (a.changed || a.tenant != tenant):
-		c.failLocked(PromiseAsked, "%s ran %s with another body or as tenant %q", a.backEnd, a.request, a.tenant)
+		c.failLocked(PromiseUnaltered, "%s ran %s with another body or as tenant %q", a.backEnd, a.request, a.tenant)
 	}
 	c.checkEvacuation(s, a)
 	c.checkNotices(s, a)
 	since, leaves := c.leavingAt[a.backEnd]
-	if leaves && a.at.Sub(since) > leavingBound+slack && c.inTouch(s.gateway, since, a.at) && !c.heldUp(a) {
+	if leaves && a.at.Sub(since) > leavingBound+slack && c.undisturbed(s.gateway, since, a.at) && !c.linkDisturbed(a) {
 		c.failLocked(PromiseLeaving, "%s got %s from %s %v after its leaving", a.backEnd, a.request, s.gateway, a.at.Sub(since).Round(time.Millisecond))
 	}
 }
 
 // finish judges what only the whole run shows.
 func (c *checker) finish() Result {
-	c.serving.Wait()
+	c.tasks.Wait()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	result := Result{Requests: len(c.replies)}
 	expected, recovered := 0, 0
 	for _, id := range c.order {
-		s, known := c.sends[id]
+		s, known := c.sentRequests[id]
 		r, answered := c.replies[id]
 		if !known || !answered {
 			continue
@@ -75,7 +75,7 @@
 	c.judgeWarmUps()
 	c.judgeCrashing()
 	c.judgeMoves()
-	if float64(recovered) < leastRecovered*float64(expected) || expected == 0 {
+	if float64(recovered) < minRecovered*float64(expected) || expected == 0 {
 		c.failLocked(PromiseRecovery, "%d of %d requests were served after all faults", recovered, expected)
 	}
 	result.Violations, result.Counts = c.violations, c.counts
@@ -83,10 +83,10 @@
 }
 
 // leastRecovered is the share that must be served once all faults are over.
-const leastRecovered = 0.95
+const minRecovered = 0.95
 
 // judge checks one request against all its arrivals.
-func (c *checker) judge(s sending, r reply) {
+func (c *checker) judge(s sentRequest, r reply) {
 	arrivals, runs := c.arrivals[s.request], 0
 	for _, each := range arrivals {
 		if each.ran && !each.resumed {
@@ -105,11 +105,11 @@
 			c.failLocked(PromiseNotRun, "%s was told %d and ran", s.request, r.status)
 		}
 		if r.retryAfter == "" {
-			c.failLocked(PromiseAtOnce, "%s was told %d without a time to come back", s.request, r.status)
+			c.failLocked(PromiseTimely, "%s was told %d without a time to come back", s.request, r.status)
 		}
 	}
 	c.judgeConfiguration(s, r, runs)
-	c.judgeKept(s, r, runs)
+	c.judgeLost(s, r, runs)
 }
 
 // attemptsOf returns the attempts that the route with the prefix allows.
@@ -126,9 +126,9 @@
 
 // judgeConfiguration checks that the request was handled as some version allows
 // that may have been in force.
-func (c *checker) judgeConfiguration(s sending, r reply, runs int) {
+func (c *checker) judgeConfiguration(s sentRequest, r reply, runs int) {
 	first := 0
-	if c.inTouch(s.gateway, s.at.Add(-applyBound-slack), r.at) {
+	if c.undisturbed(s.gateway, s.at.Add(-applyBound-slack), r.at) {
 		for i, each := range c.versions {
 			if each.at.Before(s.at.Add(-applyBound - slack)) {
 				first = i
@@ -155,23 +155,23 @@
 
 // judgeKept checks that a request got its final answer: not cut while its gateway
 // and all back ends were sound, and not held beyond its time.
-func (c *checker) judgeKept(s sending, r reply, runs int) {
-	if c.backEndsDisturbed(s.at, r.at) || c.unplanned(s.gateway, s.at, r.at) {
+func (c *checker) judgeLost(s sentRequest, r reply, runs int) {
+	if c.backEndsDisturbed(s.at, r.at) || c.disturbedUnplanned(s.gateway, s.at, r.at) {
 		return
 	}
-	if r.late {
-		c.failLocked(PromiseAtOnce, "%s got no final answer from %s in its time", s.request, s.gateway)
+	if r.timedOut {
+		c.failLocked(PromiseTimely, "%s got no final answer from %s in its time", s.request, s.gateway)
 		return
 	}
 	if runs > 0 && (r.status == 0 || !r.whole) {
-		c.failLocked(PromiseKept, "%s ran and was cut by %s after %v: %s", s.request, s.gateway, r.at.Sub(s.at).Round(time.Millisecond), r.cause)
+		c.failLocked(PromiseNoneLost, "%s ran and was cut by %s after %v: %s", s.request, s.gateway, r.at.Sub(s.at).Round(time.Millisecond), r.cause)
 	}
 }
 
 // unplanned tells whether anything but a planned stop touched the gateway.
-func (c *checker) unplanned(gateway string, from, to time.Time) bool {
-	for _, each := range c.spans {
-		if (each.place == gateway || each.place == everywhere) && !each.planned && each.overlaps(from.Add(-contact), to) {
+func (c *checker) disturbedUnplanned(gateway string, from, to time.Time) bool {
+	for _, each := range c.disturbances {
+		if (each.place == gateway || each.place == everywhere) && !each.planned && each.overlaps(from.Add(-quietTime), to) {
 			return true
 		}
 	}
@@ -180,19 +180,19 @@
 
 // judgeBudget checks the further attempts in every window that ends with one.
 func (c *checker) judgeBudget() {
-	for _, at := range c.repeats {
-		repeats := 0
-		for _, each := range c.repeats {
+	for _, at := range c.retries {
+		retries := 0
+		for _, each := range c.retries {
 			if !each.After(at) && at.Sub(each) <= retryWindow {
-				repeats++
+				retries++
 			}
 		}
 		requests := 0
 		for _, back := range []time.Duration{0, retryWindow / 2, retryWindow} {
 			requests = max(requests, c.sentBetween(at.Add(-retryWindow-back), at.Add(-back)))
 		}
-		if allowed := retryRatio*float64(requests) + retryExtra; float64(repeats) > allowed {
-			c.failLocked(PromiseBudget, "%d further attempts within %v, %.0f are allowed", repeats, retryWindow, allowed)
+		if allowed := retryRatio*float64(requests) + retryExtra; float64(retries) > allowed {
+			c.failLocked(PromiseBudget, "%d further attempts within %v, %.0f are allowed", retries, retryWindow, allowed)
 			return
 		}
 	}
@@ -200,7 +200,7 @@
 
 func (c *checker) sentBetween(from, to time.Time) int {
 	count := 0
-	for _, each := range c.sends {
+	for _, each := range c.sentRequests {
 		if each.at.After(from) && !each.at.After(to) {
 			count++
 		}
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -22,7 +22,7 @@
 	mutex sync.Mutex
 	// held counts the faults that hold up all bytes, deaf those that hold up the
 	// target's, and refused those that end every connection.
-	held, deaf, refused int
+	blocked, targetBlocked, refused int
 	// accepted counts the connections, of which the first silent ones carry nothing more.
 	accepted, silent int
 	changed          chan struct{}
@@ -47,7 +47,7 @@
 }
 
 // hurt changes one of the counts of faults.
-func (l *link) hurt(count func(*link) *int, by int) {
+func (l *link) changeFaults(count func(*link) *int, by int) {
 	l.mutex.Lock()
 	*count(l) += by
 	close(l.changed)
@@ -81,36 +81,36 @@
 		if err != nil {
 			return
 		}
-		l.tasks.Go(func() { l.carry(conn) })
+		l.tasks.Go(func() { l.forward(conn) })
 	}
 }
 
-func (l *link) carry(near net.Conn) {
-	defer near.Close()
-	if !l.note(near, true) {
+func (l *link) forward(inbound net.Conn) {
+	defer inbound.Close()
+	if !l.register(inbound, true) {
 		return
 	}
-	number := l.count()
-	defer l.note(near, false)
-	far, err := l.dial(l.ctx, "tcp", l.target)
+	number := l.nextNumber()
+	defer l.register(inbound, false)
+	outbound, err := l.dial(l.ctx, "tcp", l.target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	l.note(far, true)
-	defer l.note(far, false)
+	defer outbound.Close()
+	l.register(outbound, true)
+	defer l.register(outbound, false)
 	var back conc.WaitGroup
 	back.Go(func() {
-		l.copy(near, far, func() bool { return l.held == 0 && l.deaf == 0 && number > l.silent })
-		_ = near.Close()
+		l.copy(inbound, outbound, func() bool { return l.blocked == 0 && l.targetBlocked == 0 && number > l.silent })
+		_ = inbound.Close()
 	})
-	l.copy(far, near, func() bool { return l.held == 0 && number > l.silent })
-	_ = far.Close()
+	l.copy(outbound, inbound, func() bool { return l.blocked == 0 && number > l.silent })
+	_ = outbound.Close()
 	back.Wait()
 }
 
 // count returns the number of a new connection.
-func (l *link) count() int {
+func (l *link) nextNumber() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.accepted++
@@ -118,7 +118,7 @@
 }
 
 // note adds or removes a connection; it is false when connections are refused.
-func (l *link) note(conn net.Conn, added bool) bool {
+func (l *link) register(conn net.Conn, added bool) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if !added {
@@ -141,7 +141,7 @@
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 {
-			if !l.awaitFlow(flows) {
+			if !l.awaitUnblocked(flows) {
 				return
 			}
 			if _, writeErr := to.Write(buffer[:count]); writeErr != nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-func (l *link) awaitFlow(flows func() bool) bool {
+func (l *link) awaitUnblocked(flows func() bool) bool {
 	for {
 		l.mutex.Lock()
 		free, changed := flows(), l.changed
--- a/internal/soak/movejudge.go
+++ b/internal/soak/movejudge.go
@@ -8,35 +8,35 @@
 	exposureShare = 0.1
 	exposureExtra = 20
 	// rollBackBound is the time after the badAnswersKnown-th bad answer from which it gets none.
-	rollBackBound   = 5 * time.Second
-	badAnswersKnown = 50
+	rollBackBound    = 5 * time.Second
+	failuresToDetect = 50
 )
 
 // ordered notes an order.
-func (c *checker) ordered(order *move) {
+func (c *checker) moveOrdered(order *moveOrder) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.moves = append(c.moves, order)
+	c.moveOrders = append(c.moveOrders, order)
 }
 
 // failedByVersion notes an answer that failed since the version is bad.
-func (c *checker) failedByVersion(version string) {
+func (c *checker) versionFailed(version string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for _, each := range c.moves {
+	for _, each := range c.moveOrders {
 		if each.version == version {
-			each.badAnswersAt = append(each.badAnswersAt, time.Now())
+			each.failuresAt = append(each.failuresAt, time.Now())
 		}
 	}
 }
 
 // judgeMoves checks that bad versions got little, and that verdicts weren't replaced.
 func (c *checker) judgeMoves() {
-	if overruled := c.fleet.store.verdictsOverruled(); overruled > 0 {
-		c.failLocked(PromiseVerdict, "%d verdicts were replaced by others", overruled)
+	if replaced := c.fleet.store.replacedVerdictCount(); replaced > 0 {
+		c.failLocked(PromiseVerdict, "%d verdicts were replaced by others", replaced)
 	}
-	for _, each := range c.moves {
-		if each.ill.share > 0 {
+	for _, each := range c.moveOrders {
+		if each.defect.share > 0 {
 			c.judgeExposure(each)
 			c.judgeRollBack(each)
 		}
@@ -45,7 +45,7 @@
 
 // judgeExposure checks what gateways in touch sent to a bad version between the order and its
 // deadline.
-func (c *checker) judgeExposure(order *move) {
+func (c *checker) judgeExposure(order *moveOrder) {
 	all, exposed := 0, 0
 	for _, id := range c.order {
 		for _, each := range c.arrivals[id] {
@@ -53,7 +53,7 @@
 				continue
 			}
 			all++
-			if each.version == order.version && c.inTouch(c.sends[id].gateway, each.at, each.at) {
+			if each.version == order.version && c.undisturbed(c.sentRequests[id].gateway, each.at, each.at) {
 				exposed++
 			}
 		}
@@ -65,15 +65,15 @@
 
 // judgeRollBack checks that gateways in touch sent nothing to a bad version after its bad
 // answers could be known. Those from before the store was last in trouble don't count.
-func (c *checker) judgeRollBack(order *move) {
+func (c *checker) judgeRollBack(order *moveOrder) {
 	for _, id := range c.order {
 		for _, each := range c.arrivals[id] {
 			known := each.at.Add(-rollBackBound - slack)
-			if each.version != order.version || !c.inTouch(c.sends[id].gateway, known, each.at) {
+			if each.version != order.version || !c.undisturbed(c.sentRequests[id].gateway, known, each.at) {
 				continue
 			}
-			if c.badAnswersBefore(order, known) >= badAnswersKnown {
-				c.failLocked(PromiseExposure, "%s got %s from %s %v after its bad answers were known", order.version, id, c.sends[id].gateway, rollBackBound)
+			if c.failuresBefore(order, known) >= failuresToDetect {
+				c.failLocked(PromiseExposure, "%s got %s from %s %v after its bad answers were known", order.version, id, c.sentRequests[id].gateway, rollBackBound)
 				return
 			}
 		}
@@ -82,15 +82,15 @@
 
 // badAnswersBefore counts the bad answers until the time, from the end of the last trouble that
 // touched all gateways.
-func (c *checker) badAnswersBefore(order *move, until time.Time) int {
+func (c *checker) failuresBefore(order *moveOrder, until time.Time) int {
 	var from time.Time
-	for _, each := range c.spans {
+	for _, each := range c.disturbances {
 		if each.place == everywhere && each.from.Before(until) && each.to.After(from) {
 			from = each.to
 		}
 	}
 	count := 0
-	for _, at := range order.badAnswersAt {
+	for _, at := range order.failuresAt {
 		if at.After(from) && !at.After(until) {
 			count++
 		}
--- a/internal/soak/movestore.go
+++ b/internal/soak/movestore.go
@@ -26,16 +26,16 @@
 func (s *store) rolloutState(version string) rollout.State {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if now, exists := newest(s.rollouts.history)[service]; exists && !now.Gone && now.Value.Target == version {
+	if now, exists := latestByName(s.rollouts.history)[service]; exists && !now.Gone && now.Value.Target == version {
 		return now.Value.State
 	}
 	return rollout.Ordered
 }
 
-func (s *store) verdictsOverruled() int {
+func (s *store) replacedVerdictCount() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.overruled
+	return s.replacedVerdicts
 }
 
 // writeRollout takes how far an order has come, if it is at the revision that the writer knows.
@@ -43,7 +43,7 @@
 func (s *store) writeRollout(w http.ResponseWriter, name string, record catalog.Rollout) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	now, exists := newest(s.rollouts.history)[name]
+	now, exists := latestByName(s.rollouts.history)[name]
 	switch {
 	case !exists || now.Gone:
 		w.WriteHeader(http.StatusNotFound)
@@ -54,7 +54,7 @@
 	}
 	if record.Target == now.Value.Target {
 		if now.Value.State.IsVerdict() && now.Value.State != record.State {
-			s.overruled++
+			s.replacedVerdicts++
 		}
 		now.Value.State, now.Value.BeganAt = record.State, record.BeganAt
 	}
--- a/internal/soak/moving.go
+++ b/internal/soak/moving.go
@@ -26,7 +26,7 @@
 	// store may have been away.
 	verdictGrace = 8 * time.Second
 	// verdictLook is the time between two looks of the operator at the store.
-	verdictLook = 50 * time.Millisecond
+	verdictPollPause = 50 * time.Millisecond
 	// revertedPause is how long after a verdict against it a version's back ends stay, and
 	// replacedPause how long they serve alone until the standing ones are back.
 	revertedPause = 2 * time.Second
@@ -35,33 +35,33 @@
 
 // illness is what is wrong with a version: from a time on, this share of its answers are
 // failures. The zero value is a version that is well.
-type illness struct {
+type versionDefect struct {
 	share float64
 	from  time.Time
 }
 
 // strikes tells whether the request is among those that fail.
-func (i illness) strikes(request string, now time.Time) bool {
-	if i.share <= 0 || now.Before(i.from) {
+func (d versionDefect) affects(request string, now time.Time) bool {
+	if d.share <= 0 || now.Before(d.from) {
 		return false
 	}
 	hash := fnv.New32a()
 	_, _ = io.WriteString(hash, "ill "+request)
 	const parts = 1000
-	return float64(hash.Sum32()%parts) < i.share*parts
+	return float64(hash.Sum32()%parts) < d.share*parts
 }
 
 // software returns the version and what is wrong with it.
-func (b *backEnd) software() (version string, ill illness) {
+func (b *backEnd) software() (version string, defect versionDefect) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.version, b.ill
+	return b.version, b.defect
 }
 
-func (b *backEnd) install(version string, ill illness) {
+func (b *backEnd) install(version string, defect versionDefect) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.version, b.ill = version, ill
+	b.version, b.defect = version, defect
 }
 
 // addCandidates makes the back ends that an order starts.
@@ -87,36 +87,36 @@
 }
 
 // move is an order to move the service to a version, given at from.
-type move struct {
+type moveOrder struct {
 	version string
-	ill     illness
+	defect  versionDefect
 	from    time.Time
 	// badAnswersAt are when the version failed a request.
-	badAnswersAt []time.Time
+	failuresAt []time.Time
 }
 
 const (
 	// wellOneIn is how many versions are drawn for one that is well, and lateOneIn how many of
 	// the others for one that turns bad only after turnsBadAfter.
-	wellOneIn     = 3
-	lateOneIn     = 2
-	turnsBadAfter = moveTime / 4
+	soundOneIn      = 3
+	lateDefectOneIn = 2
+	lateDefectDelay = moveTime / 4
 	// leastIll is the least share of failures of a bad version, and illSteps the number of
 	// steps of illStep above it that are drawn from.
-	leastIll = 0.3
-	illStep  = 0.1
-	illSteps = 5
+	minFailureShare   = 0.3
+	failureShareStep  = 0.1
+	failureShareSteps = 5
 )
 
 // newMove returns the order that a fault draws.
-func newMove(fault Fault) *move {
-	drawn := &move{version: fmt.Sprintf("v%d", fault.Target), from: time.Now()}
-	if fault.Target%wellOneIn == 0 {
+func newMoveOrder(fault Fault) *moveOrder {
+	drawn := &moveOrder{version: fmt.Sprintf("v%d", fault.Target), from: time.Now()}
+	if fault.Target%soundOneIn == 0 {
 		return drawn
 	}
-	drawn.ill = illness{share: leastIll + illStep*float64(fault.Target%illSteps), from: drawn.from}
-	if fault.Target%lateOneIn == 0 {
-		drawn.ill.from = drawn.from.Add(turnsBadAfter)
+	drawn.defect = versionDefect{share: minFailureShare + failureShareStep*float64(fault.Target%failureShareSteps), from: drawn.from}
+	if fault.Target%lateDefectOneIn == 0 {
+		drawn.defect.from = drawn.from.Add(lateDefectDelay)
 	}
 	return drawn
 }
@@ -127,19 +127,19 @@
 		return
 	}
 	defer f.moving.Unlock()
-	for f.store.isAway() && ctx.Err() == nil {
-		sleep(ctx, awayPause)
+	for f.store.isUnavailable() && ctx.Err() == nil {
+		sleep(ctx, operatorRetryPause)
 	}
-	order := newMove(fault)
-	f.check.ordered(order)
+	order := newMoveOrder(fault)
+	f.check.moveOrdered(order)
 	f.store.putRollout(catalog.Rollout{Service: service, Target: order.version, Duration: moveTime})
 	sleep(ctx, candidateStart)
 	for _, b := range f.candidates {
-		b.install(order.version, order.ill)
+		b.install(order.version, order.defect)
 		f.listCold(ctx, b, afterStart)
 	}
 	verdict := f.awaitVerdict(ctx, order)
-	f.struck.note(fmt.Sprintf("%s: %s", order.version, verdict))
+	f.faultLog.add(fmt.Sprintf("%s: %s", order.version, verdict))
 	if verdict == rollout.Completed {
 		f.replaceStanding(ctx, order)
 	} else {
@@ -150,24 +150,24 @@
 }
 
 // awaitVerdict returns the verdict, or the last state once the operator gives up waiting.
-func (f *fleet) awaitVerdict(ctx context.Context, order *move) rollout.State {
+func (f *fleet) awaitVerdict(ctx context.Context, order *moveOrder) rollout.State {
 	state := rollout.Ordered
 	for ctx.Err() == nil && time.Since(order.from) < moveTime+verdictGrace {
 		if state = f.store.rolloutState(order.version); state.IsVerdict() {
 			break
 		}
-		sleep(ctx, verdictLook)
+		sleep(ctx, verdictPollPause)
 	}
 	return state
 }
 
 // replaceStanding ends all standing back ends at once. They come back with the new version.
-func (f *fleet) replaceStanding(ctx context.Context, order *move) {
+func (f *fleet) replaceStanding(ctx context.Context, order *moveOrder) {
 	for _, b := range f.backEnds {
-		b.install(order.version, order.ill)
-		f.check.serving.Go(func() {
-			over := f.check.trouble(b.name)
-			defer over()
+		b.install(order.version, order.defect)
+		f.check.tasks.Go(func() {
+			end := f.check.beginDisturbance(b.name)
+			defer end()
 			f.crash(ctx, b, listedAfterCrash)
 		})
 	}
--- a/internal/soak/notice.go
+++ b/internal/soak/notice.go
@@ -14,10 +14,10 @@
 
 const (
 	// untoldTime is how long a back end says that it leaves before the store hears of it.
-	untoldTime = 3 * time.Second
+	announceDelay = 3 * time.Second
 	// restAsked is the time of rest that a back end asks for, restGrace how long a gateway may go
 	// on sending, and restExtra how many requests it may send in the rest of that time.
-	restAsked = 2 * time.Second
+	restTime  = 2 * time.Second
 	restGrace = 500 * time.Millisecond
 	restExtra = 2
 )
@@ -27,11 +27,11 @@
 const silenced = "silenced"
 
 // leaveUntold empties a back end that says so in its answers alone for a while.
-func (f *fleet) leaveUntold(ctx context.Context, b *backEnd) {
-	life := b.lifeNow()
+func (f *fleet) leaveUnannounced(ctx context.Context, b *backEnd) {
+	incarnation := b.currentIncarnation()
 	b.setLeaving()
-	sleep(ctx, untoldTime)
-	if b.lifeNow() == life {
+	sleep(ctx, announceDelay)
+	if b.currentIncarnation() == incarnation {
 		f.leave(ctx, b)
 	}
 }
@@ -53,27 +53,27 @@
 }
 
 // speak adds to an answer what the back end says of itself.
-func (b *backEnd) speak(header http.Header, forwarded wire.Forwarded) {
+func (b *backEnd) writeNotices(header http.Header, forwarded wire.Forwarded) {
 	if id := b.id(); b.isLeaving(id) {
 		b.fleet.environment.Protocol().WriteLeaving(header)
-		b.fleet.check.saysItLeaves(forwarded.Request, id)
+		b.fleet.check.leavingAnnounced(forwarded.Request, id)
 	}
 }
 
 // askForRest refuses a request, and wants nothing more from its gateway for a while.
-func (b *backEnd) askForRest(w http.ResponseWriter, forwarded wire.Forwarded) {
+func (b *backEnd) refuseWithRetryAfter(w http.ResponseWriter, forwarded wire.Forwarded) {
 	b.fleet.environment.Protocol().WriteNotRun(w.Header(), forwarded.Request)
-	w.Header().Set("Retry-After", strconv.Itoa(int(restAsked/time.Second)))
-	b.fleet.check.asksForRest(forwarded.Request, b.id())
+	w.Header().Set("Retry-After", strconv.Itoa(int(restTime/time.Second)))
+	b.fleet.check.restRequested(forwarded.Request, b.id())
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 // toldPair is a back end and the gateway that it told something.
-type toldPair struct{ backEnd, gateway string }
+type noticeKey struct{ backEnd, gateway string }
 
 // rest is a time for which a back end wants nothing from a gateway.
-type rest struct {
-	toldPair
+type restPeriod struct {
+	noticeKey
 	from, to time.Time
 	// got counts the requests within it.
 	got int
@@ -83,50 +83,50 @@
 type notices struct {
 	// said is who said that it leaves in the answer to a request, and passedOn when a gateway
 	// passed the first such answer on.
-	said     map[string]string
-	passedOn map[toldPair]time.Time
-	rests    []*rest
+	leavingAnnounced map[string]string
+	passedOnAt       map[noticeKey]time.Time
+	rests            []*restPeriod
 }
 
 func newNotices() notices {
-	return notices{said: map[string]string{}, passedOn: map[toldPair]time.Time{}}
+	return notices{leavingAnnounced: map[string]string{}, passedOnAt: map[noticeKey]time.Time{}}
 }
 
 // saysItLeaves notes that the answer to the request says that the back end leaves.
-func (c *checker) saysItLeaves(request, backEnd string) {
+func (c *checker) leavingAnnounced(request, backEnd string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.notices.said[request] = backEnd
+	c.notices.leavingAnnounced[request] = backEnd
 }
 
 // notePassedOn notes that a caller has an answer that says that its back end leaves. The mutex is
 // held.
-func (c *checker) notePassedOn(s sending, r reply) {
-	if r.stamp == "" || c.notices.said[s.request] != r.stamp {
+func (c *checker) notePassedOn(s sentRequest, r reply) {
+	if r.stamp == "" || c.notices.leavingAnnounced[s.request] != r.stamp {
 		return
 	}
-	told := toldPair{backEnd: r.stamp, gateway: s.gateway}
-	if _, before := c.notices.passedOn[told]; !before && c.fleet.backEndOf(r.stamp).isLeaving(r.stamp) {
-		c.notices.passedOn[told] = r.at
+	key := noticeKey{backEnd: r.stamp, gateway: s.gateway}
+	if _, before := c.notices.passedOnAt[key]; !before && c.fleet.backEndOf(r.stamp).isLeaving(r.stamp) {
+		c.notices.passedOnAt[key] = r.at
 	}
 }
 
 // asksForRest notes that the back end refuses the request and wants rest.
-func (c *checker) asksForRest(request, backEnd string) {
+func (c *checker) restRequested(request, backEnd string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
-	c.notices.rests = append(c.notices.rests, &rest{
-		toldPair: toldPair{backEnd: backEnd, gateway: c.sends[request].gateway},
-		from:     now.Add(restGrace + slack), to: now.Add(restAsked),
+	c.notices.rests = append(c.notices.rests, &restPeriod{
+		noticeKey: noticeKey{backEnd: backEnd, gateway: c.sentRequests[request].gateway},
+		from:      now.Add(restGrace + slack), to: now.Add(restTime),
 	})
 }
 
 // forgetNotices drops what another life of the back end said.
 func (c *checker) forgetNotices(backEnd string) {
-	for told := range c.notices.passedOn {
-		if told.backEnd == backEnd {
-			delete(c.notices.passedOn, told)
+	for key := range c.notices.passedOnAt {
+		if key.backEnd == backEnd {
+			delete(c.notices.passedOnAt, key)
 		}
 	}
 	for _, each := range c.notices.rests {
@@ -138,34 +138,34 @@
 
 // checkNotices checks that a request didn't come to a back end that had told its gateway not to
 // send it. In touch or not, a gateway is bound by what it heard itself.
-func (c *checker) checkNotices(s sending, a arrival) {
-	told := toldPair{backEnd: a.backEnd, gateway: s.gateway}
-	if at, leaves := c.notices.passedOn[told]; leaves && s.at.Sub(at) > leavingBound && !c.interrupted(s.gateway, at, a.at) {
+func (c *checker) checkNotices(s sentRequest, a arrival) {
+	key := noticeKey{backEnd: a.backEnd, gateway: s.gateway}
+	if at, leaves := c.notices.passedOnAt[key]; leaves && s.at.Sub(at) > leavingBound && !c.interrupted(s.gateway, at, a.at) {
 		c.failLocked(PromiseNotice, "%s got %s, sent to %s %v after that had passed on its word that it leaves", a.backEnd, a.request, s.gateway, s.at.Sub(at).Round(time.Millisecond))
 	}
 	for _, each := range c.notices.rests {
-		if each.toldPair != told || !a.at.After(each.from) || !a.at.Before(each.to) {
+		if each.noticeKey != key || !a.at.After(each.from) || !a.at.Before(each.to) {
 			continue
 		}
-		if each.got++; each.got == restExtra+1 && !c.unheard(a, each) {
-			c.failLocked(PromiseRest, "%s got %d requests from %s by %s within the rest that it had asked for", a.backEnd, each.got, s.gateway, a.request)
+		if each.got++; each.got == restExtra+1 && !c.mayHaveMissedRest(a, each) {
+			c.failLocked(PromiseRetryAfter, "%s got %d requests from %s by %s within the rest that it had asked for", a.backEnd, each.got, s.gateway, a.request)
 		}
 	}
 }
 
 // unheard tells whether the gateway may not have heard of the rest, or has forgotten it.
-func (c *checker) unheard(a arrival, asked *rest) bool {
+func (c *checker) mayHaveMissedRest(a arrival, asked *restPeriod) bool {
 	from := asked.from.Add(-restGrace - slack)
-	return c.interrupted(asked.gateway, from, a.at) || c.disturbed(from, a.at, linkOf(nameOf(a.backEnd)), silenced)
+	return c.interrupted(asked.gateway, from, a.at) || c.disturbed(from, a.at, linkPlace(nameOf(a.backEnd)), silenced)
 }
 
 // interrupted tells whether the gateway was struck since, so that it may have forgotten what it
 // heard. A cut of its link to the store is no such thing.
 func (c *checker) interrupted(gateway string, from, to time.Time) bool {
-	if !c.lives[gateway].Before(from) {
+	if !c.gatewayStarts[gateway].Before(from) {
 		return true
 	}
-	for _, each := range c.spans {
+	for _, each := range c.disturbances {
 		if each.place == gateway && each.stopped && each.overlaps(from, to) {
 			return true
 		}
--- a/internal/soak/objects_test.go
+++ b/internal/soak/objects_test.go
@@ -10,7 +10,7 @@
 
 // Whatever several restores have lost between them, each writer writes its last word again, once,
 // and nothing that it had replaced.
-func TestWritersWriteTheirLastWordAgain(t *testing.T) {
+func TestRewriteLostRestoresLatestWritesOnce(t *testing.T) {
 	is := is.New(t)
 	revision := uint64(0)
 	next := func() uint64 { revision++; return revision }
@@ -22,15 +22,15 @@
 	put("b", "stays", false)
 	copied := revision
 	put("a", "", true)
-	kept.cutBack(copied) // the removal is lost
+	kept.truncate(copied) // the removal is lost
 	revision = copied
 	put("a", "second", false) // at the revision that the removal had
-	kept.cutBack(copied)
+	kept.truncate(copied)
 	revision = copied
-	kept.rewrite(next)
-	kept.rewrite(next)
+	kept.rewriteLost(next)
+	kept.rewriteLost(next)
 	is.Equal(revision, copied+1)
-	is.Equal(listed(kept.history), []wire.StoreEntry[string]{
+	is.Equal(liveEntries(kept.history), []wire.StoreEntry[string]{
 		{Name: "a", Revision: copied + 1, Value: "second"}, {Name: "b", Revision: copied, Value: "stays"},
 	})
 }
--- a/internal/soak/processes.go
+++ b/internal/soak/processes.go
@@ -124,7 +124,7 @@
 }
 
 // startTime is how long a started gateway is given before faults may strike it.
-const startTime = 200 * time.Millisecond
+const startGrace = 200 * time.Millisecond
 
 func (p *process) Start() error {
 	p.command = exec.Command(p.programs[p.starts%len(p.programs)], "--config", p.settings)
@@ -142,7 +142,7 @@
 	select {
 	case <-ended:
 		return errors.Errorf("the gateway ended at once; its log is %s", p.log.Name())
-	case <-time.After(startTime):
+	case <-time.After(startGrace):
 		return nil
 	}
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -24,17 +24,17 @@
 	PauseGateway Kind = "pause_gateway"
 	// CutStore holds up all bytes between a gateway and the store, ResetStore resets
 	// its connections, and DeafStore holds up only what the store says.
-	CutStore   Kind = "cut_store"
-	ResetStore Kind = "reset_store"
-	DeafStore  Kind = "deaf_store"
+	CutStore        Kind = "cut_store"
+	ResetStore      Kind = "reset_store"
+	CutStoreAnswers Kind = "deaf_store"
 	// StoreDown lets the store answer nobody, StoreBusy refuse everybody, StoreSlow
 	// answer late, StoreForgets drop its history, and StoreLapses list no back end
 	// for a moment after an outage.
-	StoreDown    Kind = "store_down"
-	StoreBusy    Kind = "store_busy"
-	StoreSlow    Kind = "store_slow"
-	StoreForgets Kind = "store_forgets"
-	StoreLapses  Kind = "store_lapses"
+	StoreDown         Kind = "store_down"
+	StoreBusy         Kind = "store_busy"
+	StoreSlow         Kind = "store_slow"
+	StoreDropsHistory Kind = "store_forgets"
+	StoreListsNone    Kind = "store_lapses"
 	// RestoreStore brings the store back from a copy that is seconds old. What the gateways
 	// wrote since is gone; operators and back ends write theirs again within two seconds.
 	RestoreStore Kind = "restore_store"
@@ -44,7 +44,7 @@
 	// CrashBackEnd ends a back end and all its connections; another incarnation
 	// comes at the same address. DarkBackEnd holds up all its bytes.
 	CrashBackEnd Kind = "crash_back_end"
-	DarkBackEnd  Kind = "dark_back_end"
+	CutBackEnd   Kind = "dark_back_end"
 	// LeaveBackEnd empties a back end as planned; another comes.
 	LeaveBackEnd Kind = "leave_back_end"
 	// LoseAnswers, SpoilAnswers, FailAnswers and RefuseAll are back ends that run
@@ -67,23 +67,23 @@
 	// noticed.
 	RestartBackEnd Kind = "restart_back_end"
 	// StrangeEntries lets another writer list what no gateway can read.
-	StrangeEntries Kind = "strange_entries"
+	UnreadableEntries Kind = "strange_entries"
 	// MoveService orders that the service is moved to back ends of another version, which may
 	// be bad. One order at a time stands.
 	MoveService Kind = "move_service"
 	// LeaveUntold empties a back end that says so in its answers alone at first. AskForRest is
 	// a back end that refuses, and says for how long it wants nothing.
-	LeaveUntold Kind = "leave_untold"
-	AskForRest  Kind = "ask_for_rest"
+	LeaveUnannounced     Kind = "leave_untold"
+	RefuseWithRetryAfter Kind = "ask_for_rest"
 )
 
 // Kinds lists every kind.
 func Kinds() []Kind {
 	return []Kind{
-		KillGateway, KillAllGateways, StopGateway, ReloadGateway, PauseGateway, CutStore, ResetStore, DeafStore,
-		StoreDown, StoreBusy, StoreSlow, StoreForgets, StoreLapses, RestoreStore, SilentConnections, CrashBackEnd, DarkBackEnd, LeaveBackEnd,
+		KillGateway, KillAllGateways, StopGateway, ReloadGateway, PauseGateway, CutStore, ResetStore, CutStoreAnswers,
+		StoreDown, StoreBusy, StoreSlow, StoreDropsHistory, StoreListsNone, RestoreStore, SilentConnections, CrashBackEnd, CutBackEnd, LeaveBackEnd,
 		LoseAnswers, SpoilAnswers, FailAnswers, RefuseAll, EvacuateZone, ChangeRoute, RevokeKey,
-		CrashingRequest, RestartBackEnd, StrangeEntries, MoveService, LeaveUntold, AskForRest,
+		CrashingRequest, RestartBackEnd, UnreadableEntries, MoveService, LeaveUnannounced, RefuseWithRetryAfter,
 	}
 }
 
@@ -105,7 +105,7 @@
 	// once.
 	faultGap = 1500 * time.Millisecond
 	// togetherShare is the part of the faults that come with the one before.
-	togetherShare = 0.3
+	burstShare = 0.3
 	// shortestFault and longestFault bound how long one lasts.
 	shortestFault = 500 * time.Millisecond
 	longestFault  = 6 * time.Second
@@ -124,7 +124,7 @@
 	var faults []Fault
 	at := time.Duration(0)
 	for {
-		if len(faults) == 0 || random.Float64() >= togetherShare {
+		if len(faults) == 0 || random.Float64() >= burstShare {
 			at += time.Duration(random.ExpFloat64() * float64(faultGap))
 		}
 		fault := Fault{
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -35,7 +35,7 @@
 }
 
 // draws tells whether faults of the kind may be drawn.
-func (o Options) draws(kind Kind) bool { return len(o.Kinds) == 0 || slices.Contains(o.Kinds, kind) }
+func (o Options) includes(kind Kind) bool { return len(o.Kinds) == 0 || slices.Contains(o.Kinds, kind) }
 
 // DefaultOptions returns the defaults.
 func DefaultOptions() Options {
@@ -44,8 +44,8 @@
 
 const (
 	// warmUp is the time before the first fault, settle the time after the last.
-	warmUp = 3 * time.Second
-	settle = 8 * time.Second
+	leadTime     = 3 * time.Second
+	recoveryTime = 8 * time.Second
 )
 
 // Result is what a run found.
@@ -63,7 +63,7 @@
 	// Counts is the number of violations by promise.
 	Counts map[Promise]int
 	// Struck tells in order what struck, with the time from the first fault.
-	Struck []string
+	FaultLog []string
 }
 
 // Run plays one seed.
@@ -76,7 +76,7 @@
 	if err := f.start(); err != nil {
 		return Result{}, err
 	}
-	sleep(ctx, warmUp)
+	sleep(ctx, leadTime)
 	faults := Schedule(options)
 	callersContext, stopCallers := context.WithCancel(ctx)
 	var callers conc.WaitGroup
@@ -85,27 +85,27 @@
 	}
 	f.play(ctx, faults)
 	f.check.expectRecovery(time.Now())
-	sleep(ctx, settle)
+	sleep(ctx, recoveryTime)
 	stopCallers()
 	callers.Wait()
 	result := f.check.finish()
-	result.Seed, result.Faults, result.Struck = options.Seed, len(faults), f.struck.lines
+	result.Seed, result.Faults, result.FaultLog = options.Seed, len(faults), f.faultLog.lines
 	return result, ctx.Err()
 }
 
 // play carries out the faults, each at its time.
 func (f *fleet) play(ctx context.Context, faults []Fault) {
-	began := time.Now()
+	start := time.Now()
 	var running conc.WaitGroup
 	for _, fault := range faults {
-		sleep(ctx, time.Until(began.Add(fault.At)))
+		sleep(ctx, time.Until(start.Add(fault.At)))
 		if ctx.Err() != nil {
 			break
 		}
-		f.struck.note(fmt.Sprintf("%s for %v", fault, fault.For))
-		running.Go(func() { f.strike(ctx, fault) })
+		f.faultLog.add(fmt.Sprintf("%s for %v", fault, fault.For))
+		running.Go(func() { f.inject(ctx, fault) })
 	}
-	sleep(ctx, time.Until(began.Add(f.options.Duration)))
+	sleep(ctx, time.Until(start.Add(f.options.Duration)))
 	running.Wait()
 }
 
--- a/internal/soak/store.go
+++ b/internal/soak/store.go
@@ -29,10 +29,10 @@
 	backEnds       objects[catalog.BackEnd]
 	evacuations    objects[catalog.Evacuation]
 	rollouts       objects[catalog.Rollout]
-	own            []wire.StoreEntry[[]byte]
+	gatewayObjects []wire.StoreEntry[[]byte]
 	// overruled counts the verdicts on roll-outs that were replaced by another one.
-	overruled int
-	changed   chan struct{}
+	replacedVerdicts int
+	changed          chan struct{}
 	// silent keeps every call without an answer, busy refuses it, and slow delays
 	// it; each counts the faults that ask for it.
 	silent, busy, slow int
@@ -42,7 +42,7 @@
 const slowAnswer = 700 * time.Millisecond
 
 // keptHistory bounds the changes that watches can go back to.
-const keptHistory = 64
+const maxHistory = 64
 
 func newStore(protocol wire.Protocol) *store {
 	return &store{
@@ -88,11 +88,11 @@
 		delete(s.times, copied)
 		copied--
 	}
-	s.configurations.cutBack(copied)
-	s.backEnds.cutBack(copied)
-	s.evacuations.cutBack(copied)
-	s.rollouts.cutBack(copied)
-	s.own = upTo(s.own, copied)
+	s.configurations.truncate(copied)
+	s.backEnds.truncate(copied)
+	s.evacuations.truncate(copied)
+	s.rollouts.truncate(copied)
+	s.gatewayObjects = changesUpTo(s.gatewayObjects, copied)
 	s.era++
 	s.revision, s.oldest = copied, min(s.oldest, copied)
 	close(s.changed)
@@ -100,15 +100,15 @@
 	return func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		s.configurations.rewrite(s.next)
-		s.backEnds.rewrite(s.next)
-		s.evacuations.rewrite(s.next)
-		s.rollouts.rewrite(s.next)
+		s.configurations.rewriteLost(s.next)
+		s.backEnds.rewriteLost(s.next)
+		s.evacuations.rewriteLost(s.next)
+		s.rollouts.rewriteLost(s.next)
 	}
 }
 
 // isAway tells whether the store takes nothing from operators at the moment.
-func (s *store) isAway() bool {
+func (s *store) isUnavailable() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.silent > 0 || s.busy > 0
@@ -118,8 +118,8 @@
 func (s *store) next() uint64 {
 	s.revision++
 	s.times[s.revision] = time.Now()
-	if s.revision > s.oldest+keptHistory {
-		s.oldest = s.revision - keptHistory
+	if s.revision > s.oldest+maxHistory {
+		s.oldest = s.revision - maxHistory
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -127,7 +127,7 @@
 }
 
 // skip lets other writers make so many changes.
-func (s *store) skip(changes uint64) {
+func (s *store) advance(changes uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for range changes {
@@ -136,7 +136,7 @@
 }
 
 // forget drops the history: watches must read anew.
-func (s *store) forget() {
+func (s *store) dropHistory() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision++
@@ -147,7 +147,7 @@
 }
 
 // misbehave changes one of the counts of faults.
-func (s *store) misbehave(count func(*store) *int, by int) {
+func (s *store) changeFaults(count func(*store) *int, by int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	*count(s) += by
@@ -179,40 +179,40 @@
 		return
 	}
 	call := s.protocol.ReadStoreCall(r)
-	if call.Watch && !s.await(r, call) {
+	if call.Watch && !s.awaitChanges(r, call) {
 		w.WriteHeader(http.StatusGone)
 		return
 	}
-	s.answer(w, call)
+	s.respond(w, call)
 }
 
 // write takes an object of the gateways' own.
 func (s *store) write(w http.ResponseWriter, write wire.StoreWrite) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	exists := slices.ContainsFunc(listed(s.own), func(each wire.StoreEntry[[]byte]) bool { return each.Name == write.Name })
+	exists := slices.ContainsFunc(liveEntries(s.gatewayObjects), func(each wire.StoreEntry[[]byte]) bool { return each.Name == write.Name })
 	switch {
 	case write.Gone && !exists:
 		w.WriteHeader(http.StatusNotFound)
 	case !write.Gone && exists:
 		w.WriteHeader(http.StatusConflict)
 	default:
-		s.own = append(s.own, wire.StoreEntry[[]byte]{Name: write.Name, Revision: s.next(), Gone: write.Gone, Value: write.Spec})
+		s.gatewayObjects = append(s.gatewayObjects, wire.StoreEntry[[]byte]{Name: write.Name, Revision: s.next(), Gone: write.Gone, Value: write.Spec})
 	}
 }
 
 // await returns when the watch has something to tell or its time has passed; it is
 // false when the history is gone.
-func (s *store) await(r *http.Request, call wire.StoreCall) bool {
+func (s *store) awaitChanges(r *http.Request, call wire.StoreCall) bool {
 	timer := time.NewTimer(call.Wait)
 	defer timer.Stop()
-	era := s.eraNow()
+	era := s.currentEra()
 	for {
 		s.mutex.Lock()
 		gone := call.After < s.oldest || call.After > s.revision || era != s.era
-		news, changed := s.hasNews(call), s.changed
+		pending, changed := s.hasChanges(call), s.changed
 		s.mutex.Unlock()
-		if gone || news {
+		if gone || pending {
 			return !gone
 		}
 		select {
@@ -225,46 +225,46 @@
 	}
 }
 
-func (s *store) eraNow() uint64 {
+func (s *store) currentEra() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.era
 }
 
-func (s *store) hasNews(call wire.StoreCall) bool {
+func (s *store) hasChanges(call wire.StoreCall) bool {
 	switch call.Kind {
 	case wire.BackEnds:
-		return len(since(s.backEnds.history, call.After)) > 0
+		return len(changesAfter(s.backEnds.history, call.After)) > 0
 	case wire.Evacuations:
-		return len(since(s.evacuations.history, call.After)) > 0
+		return len(changesAfter(s.evacuations.history, call.After)) > 0
 	case wire.Rollouts:
-		return len(since(s.rollouts.history, call.After)) > 0
-	case wire.Own:
-		return len(since(s.own, call.After)) > 0
+		return len(changesAfter(s.rollouts.history, call.After)) > 0
+	case wire.GatewayObjects:
+		return len(changesAfter(s.gatewayObjects, call.After)) > 0
 	default:
-		return len(since(s.configurations.history, call.After)) > 0
+		return len(changesAfter(s.configurations.history, call.After)) > 0
 	}
 }
 
-func (s *store) answer(w http.ResponseWriter, call wire.StoreCall) {
+func (s *store) respond(w http.ResponseWriter, call wire.StoreCall) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch call.Kind {
 	case wire.BackEnds:
-		s.protocol.WriteList(w, answerOfStore(s.backEnds.history, call, s.revision, s.era))
+		s.protocol.WriteList(w, newStoreAnswer(s.backEnds.history, call, s.revision, s.era))
 	case wire.Evacuations:
-		s.protocol.WriteList(w, answerOfStore(s.evacuations.history, call, s.revision, s.era))
+		s.protocol.WriteList(w, newStoreAnswer(s.evacuations.history, call, s.revision, s.era))
 	case wire.Rollouts:
-		s.protocol.WriteList(w, answerOfStore(s.rollouts.history, call, s.revision, s.era))
-	case wire.Own:
-		s.protocol.WriteList(w, answerOfStore(s.own, call, s.revision, s.era))
+		s.protocol.WriteList(w, newStoreAnswer(s.rollouts.history, call, s.revision, s.era))
+	case wire.GatewayObjects:
+		s.protocol.WriteList(w, newStoreAnswer(s.gatewayObjects, call, s.revision, s.era))
 	default:
-		s.protocol.WriteList(w, answerOfStore(s.configurations.history, call, s.revision, s.era))
+		s.protocol.WriteList(w, newStoreAnswer(s.configurations.history, call, s.revision, s.era))
 	}
 }
 
-func answerOfStore[T any](history []wire.StoreEntry[T], call wire.StoreCall, revision, era uint64) wire.StoreAnswer[any] {
-	answer := wire.StoreAnswer[any]{Watch: call.Watch, At: revision, Era: era}
+func newStoreAnswer[T any](history []wire.StoreEntry[T], call wire.StoreCall, revision, era uint64) wire.StoreAnswer[any] {
+	answer := wire.StoreAnswer[any]{Watch: call.Watch, Revision: revision, Era: era}
 	for _, each := range entries(history, call) {
 		answer.Entries = append(answer.Entries, each.Untyped())
 	}
@@ -273,13 +273,13 @@
 
 func entries[T any](history []wire.StoreEntry[T], call wire.StoreCall) []wire.StoreEntry[T] {
 	if call.Watch {
-		return since(history, call.After)
+		return changesAfter(history, call.After)
 	}
-	return listed(history)
+	return liveEntries(history)
 }
 
 // since returns the changes after a revision.
-func since[T any](history []wire.StoreEntry[T], after uint64) []wire.StoreEntry[T] {
+func changesAfter[T any](history []wire.StoreEntry[T], after uint64) []wire.StoreEntry[T] {
 	var list []wire.StoreEntry[T]
 	for _, entry := range history {
 		if entry.Revision > after {
@@ -290,9 +290,9 @@
 }
 
 // listed returns the newest entry of each name that isn't gone, by name.
-func listed[T any](history []wire.StoreEntry[T]) []wire.StoreEntry[T] {
+func liveEntries[T any](history []wire.StoreEntry[T]) []wire.StoreEntry[T] {
 	var list []wire.StoreEntry[T]
-	for _, entry := range newest(history) {
+	for _, entry := range latestByName(history) {
 		if !entry.Gone {
 			list = append(list, entry)
 		}
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -10,9 +10,9 @@
 
 const (
 	// restartPause is how long a killed or stopped gateway is away.
-	restartPause = 300 * time.Millisecond
+	gatewayDowntime = 300 * time.Millisecond
 	// lapsePause is how long after an outage the store lists no back end.
-	lapsePause = 800 * time.Millisecond
+	emptyListTime = 800 * time.Millisecond
 	// listedAfterCrash is how long the store still lists one that crashed.
 	listedAfterCrash = 2 * time.Second
 	// servesAfterBound is how long a back end goes on after the bound on leaving.
@@ -20,49 +20,49 @@
 )
 
 // strike carries out one fault and ends it.
-func (f *fleet) strike(ctx context.Context, fault Fault) {
+func (f *fleet) inject(ctx context.Context, fault Fault) {
 	g := f.gateways[fault.Target%len(f.gateways)]
 	b := f.backEnds[fault.Target%len(f.backEnds)]
 	wait := func() { sleep(ctx, fault.For) }
 	switch fault.Kind {
 	case KillGateway:
-		f.endGateway(ctx, g, false)
+		f.restartGateway(ctx, g, false)
 	case KillAllGateways:
 		for _, each := range f.gateways {
-			f.check.serving.Go(func() { f.endGateway(ctx, each, false) })
+			f.check.tasks.Go(func() { f.restartGateway(ctx, each, false) })
 		}
 	case StopGateway:
-		f.endGateway(ctx, g, true)
+		f.restartGateway(ctx, g, true)
 	case ReloadGateway:
 		f.withGateway(g, func() { g.gateway.Reload() })
 	case PauseGateway:
 		f.withGateway(g, func() { f.pause(g, min(fault.For, routeTimeout)) })
 	case CutStore:
-		f.hurtStoreLink(g, func(l *link) *int { return &l.held }, wait)
+		f.disturbStoreLink(g, func(l *link) *int { return &l.blocked }, wait)
 	case ResetStore:
-		f.hurtStoreLink(g, func(l *link) *int { return &l.refused }, wait)
-	case DeafStore:
-		f.hurtStoreLink(g, func(l *link) *int { return &l.deaf }, wait)
-	case StoreDown, StoreLapses:
-		f.hurtStore(func(s *store) *int { return &s.silent }, wait)
-		if fault.Kind == StoreLapses {
-			f.lapse(ctx)
+		f.disturbStoreLink(g, func(l *link) *int { return &l.refused }, wait)
+	case CutStoreAnswers:
+		f.disturbStoreLink(g, func(l *link) *int { return &l.targetBlocked }, wait)
+	case StoreDown, StoreListsNone:
+		f.disturbStore(func(s *store) *int { return &s.silent }, wait)
+		if fault.Kind == StoreListsNone {
+			f.listNoBackEnds(ctx)
 		}
 	case StoreBusy:
-		f.hurtStore(func(s *store) *int { return &s.busy }, wait)
+		f.disturbStore(func(s *store) *int { return &s.busy }, wait)
 	case StoreSlow:
-		f.hurtStore(func(s *store) *int { return &s.slow }, wait)
-	case StoreForgets:
-		f.hurtStore(nil, f.store.forget)
+		f.disturbStore(func(s *store) *int { return &s.slow }, wait)
+	case StoreDropsHistory:
+		f.disturbStore(nil, f.store.dropHistory)
 	case RestoreStore:
 		f.restoreStore(ctx, fault.For)
 	case SilentConnections:
 		f.silence()
 	case EvacuateZone:
 		f.evacuate(ctx, zones[fault.Target%len(zones)], wait)
-	case CrashBackEnd, RestartBackEnd, StrangeEntries, DarkBackEnd, LeaveBackEnd, LoseAnswers, SpoilAnswers, FailAnswers, RefuseAll,
-		LeaveUntold, AskForRest:
-		f.strikeBackEnd(ctx, b, fault)
+	case CrashBackEnd, RestartBackEnd, UnreadableEntries, CutBackEnd, LeaveBackEnd, LoseAnswers, SpoilAnswers, FailAnswers, RefuseAll,
+		LeaveUnannounced, RefuseWithRetryAfter:
+		f.injectAtBackEnd(ctx, b, fault)
 	case ChangeRoute:
 		f.withdraw(func(f *fleet) *int { return &f.noSpareRoute }, wait)
 	case CrashingRequest:
@@ -84,16 +84,16 @@
 }
 
 // endGateway ends a gateway and starts it again.
-func (f *fleet) endGateway(ctx context.Context, g *gatewayState, planned bool) {
+func (f *fleet) restartGateway(ctx context.Context, g *gatewayState, planned bool) {
 	f.withGateway(g, func() {
-		f.check.ending(g, planned)
+		f.check.gatewayStopping(g, planned)
 		if planned {
 			g.gateway.Stop()
 		} else {
 			g.gateway.Kill()
 		}
-		sleep(ctx, restartPause)
-		f.check.began(g)
+		sleep(ctx, gatewayDowntime)
+		f.check.gatewayStarting(g)
 		if err := g.gateway.Start(); err != nil {
 			f.check.fail(PromiseStart, "%s did not start again: %v", g.id, err)
 		}
@@ -101,31 +101,31 @@
 }
 
 func (f *fleet) pause(g *gatewayState, wait time.Duration) {
-	over := f.check.note(&span{place: g.id, from: time.Now(), stopped: true})
-	defer over()
+	end := f.check.addDisturbance(&disturbance{place: g.id, from: time.Now(), stopped: true})
+	defer end()
 	g.gateway.Pause()
 	time.Sleep(wait)
 	g.gateway.Resume()
 }
 
-func (f *fleet) hurtStoreLink(g *gatewayState, count func(*link) *int, wait func()) {
-	over := f.check.trouble(g.id)
-	defer over()
-	g.storeLink.hurt(count, 1)
+func (f *fleet) disturbStoreLink(g *gatewayState, count func(*link) *int, wait func()) {
+	end := f.check.beginDisturbance(g.id)
+	defer end()
+	g.storeLink.changeFaults(count, 1)
 	wait()
-	g.storeLink.hurt(count, -1)
+	g.storeLink.changeFaults(count, -1)
 }
 
-func (f *fleet) hurtStore(count func(*store) *int, wait func()) {
-	over := f.check.trouble(everywhere)
-	defer over()
+func (f *fleet) disturbStore(count func(*store) *int, wait func()) {
+	end := f.check.beginDisturbance(everywhere)
+	defer end()
 	if count == nil {
 		wait()
 		return
 	}
-	f.store.misbehave(count, 1)
+	f.store.changeFaults(count, 1)
 	wait()
-	f.store.misbehave(count, -1)
+	f.store.changeFaults(count, -1)
 }
 
 const (
@@ -141,9 +141,9 @@
 // anew since, after many changes: whoever orders by revisions alone takes what is written after
 // the restore for old.
 func (f *fleet) restoreStore(ctx context.Context, age time.Duration) {
-	over := f.check.trouble(everywhere)
-	defer over()
-	f.store.skip(lostChanges)
+	end := f.check.beginDisturbance(everywhere)
+	defer end()
+	f.store.advance(lostChanges)
 	for _, b := range f.everyBackEnd() {
 		if !b.isStarting() {
 			f.store.putBackEnd(b.entry())
@@ -167,18 +167,18 @@
 		g.storeLink.silence()
 	}
 	for _, place := range places {
-		f.check.trouble(place)()
+		f.check.beginDisturbance(place)()
 	}
 }
 
 // lapse drops all back ends from the list and lists those again that are up.
-func (f *fleet) lapse(ctx context.Context) {
-	over := f.check.trouble(everywhere)
-	defer over()
+func (f *fleet) listNoBackEnds(ctx context.Context) {
+	end := f.check.beginDisturbance(everywhere)
+	defer end()
 	for _, b := range f.everyBackEnd() {
 		f.store.removeBackEnd(b.id())
 	}
-	sleep(ctx, lapsePause)
+	sleep(ctx, emptyListTime)
 	for _, b := range f.everyBackEnd() {
 		if !b.isStarting() {
 			f.store.putBackEnd(b.entry())
@@ -199,41 +199,41 @@
 	change(-1)
 }
 
-func (f *fleet) strikeBackEnd(ctx context.Context, b *backEnd, fault Fault) {
-	over := f.check.trouble(b.name)
-	defer over()
-	misbehave := func(count func(*backEnd) *int) {
-		b.misbehave(count, 1)
+func (f *fleet) injectAtBackEnd(ctx context.Context, b *backEnd, fault Fault) {
+	end := f.check.beginDisturbance(b.name)
+	defer end()
+	applyFault := func(count func(*backEnd) *int) {
+		b.changeFaults(count, 1)
 		sleep(ctx, fault.For)
-		b.misbehave(count, -1)
+		b.changeFaults(count, -1)
 	}
 	switch fault.Kind {
 	case LoseAnswers:
-		misbehave(func(b *backEnd) *int { return &b.lose })
+		applyFault(func(b *backEnd) *int { return &b.lose })
 	case SpoilAnswers:
-		misbehave(func(b *backEnd) *int { return &b.spoil })
+		applyFault(func(b *backEnd) *int { return &b.spoil })
 	case FailAnswers:
-		misbehave(func(b *backEnd) *int { return &b.fail })
+		applyFault(func(b *backEnd) *int { return &b.fail })
 	case RefuseAll:
-		misbehave(func(b *backEnd) *int { return &b.refuse })
-	case AskForRest:
-		misbehave(func(b *backEnd) *int { return &b.rest })
-	case DarkBackEnd:
-		linkIsOver := f.check.trouble(linkOf(b.name))
-		defer linkIsOver()
-		b.link.hurt(func(l *link) *int { return &l.held }, 1)
+		applyFault(func(b *backEnd) *int { return &b.refuse })
+	case RefuseWithRetryAfter:
+		applyFault(func(b *backEnd) *int { return &b.rest })
+	case CutBackEnd:
+		endAtLink := f.check.beginDisturbance(linkPlace(b.name))
+		defer endAtLink()
+		b.link.changeFaults(func(l *link) *int { return &l.blocked }, 1)
 		sleep(ctx, fault.For)
-		b.link.hurt(func(l *link) *int { return &l.held }, -1)
+		b.link.changeFaults(func(l *link) *int { return &l.blocked }, -1)
 	case CrashBackEnd:
 		f.crash(ctx, b, fault.For)
 	case RestartBackEnd:
-		f.restartUnderID(ctx, b, fault.For)
-	case StrangeEntries:
-		f.writeStrange(ctx, b, fault)
+		f.restartWithSameID(ctx, b, fault.For)
+	case UnreadableEntries:
+		f.writeUnreadable(ctx, b, fault)
 	case LeaveBackEnd:
 		f.leave(ctx, b)
-	case LeaveUntold:
-		f.leaveUntold(ctx, b)
+	case LeaveUnannounced:
+		f.leaveUnannounced(ctx, b)
 	}
 }
 
@@ -241,27 +241,27 @@
 // comes.
 func (f *fleet) crash(ctx context.Context, b *backEnd, wait time.Duration) {
 	id := b.id()
-	b.link.hurt(func(l *link) *int { return &l.refused }, 1)
-	life := b.restart(false)
+	b.link.changeFaults(func(l *link) *int { return &l.refused }, 1)
+	incarnation := b.restart(false)
 	sleep(ctx, max(wait, listedAfterCrash))
 	f.store.removeBackEnd(id)
-	f.comeBack(ctx, b, life, afterStart)
+	f.bringBack(ctx, b, incarnation, afterStart)
 }
 
 // restartUnderID ends a back end, which is back under its ID before the store has noticed.
-func (f *fleet) restartUnderID(ctx context.Context, b *backEnd, wait time.Duration) {
-	b.link.hurt(func(l *link) *int { return &l.refused }, 1)
-	life := b.restart(true)
-	f.check.startedAgain(b.id())
+func (f *fleet) restartWithSameID(ctx context.Context, b *backEnd, wait time.Duration) {
+	b.link.changeFaults(func(l *link) *int { return &l.refused }, 1)
+	incarnation := b.restart(true)
+	f.check.backEndRestarted(b.id())
 	sleep(ctx, wait)
-	f.comeBack(ctx, b, life, afterRestart)
+	f.bringBack(ctx, b, incarnation, afterRestart)
 }
 
 // comeBack lets a back end be reached and listed, unless it has ended again meanwhile: then
 // the life of the moment isn't up yet.
-func (f *fleet) comeBack(ctx context.Context, b *backEnd, life int, cause warmUpCause) {
-	b.link.hurt(func(l *link) *int { return &l.refused }, -1)
-	if b.lifeNow() == life {
+func (f *fleet) bringBack(ctx context.Context, b *backEnd, incarnation int, cause warmUpCause) {
+	b.link.changeFaults(func(l *link) *int { return &l.refused }, -1)
+	if b.currentIncarnation() == incarnation {
 		f.listCold(ctx, b, cause)
 	}
 }
@@ -270,25 +270,25 @@
 func (b *backEnd) restart(keepsID bool) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.life++
+	b.incarnation++
 	if !keepsID {
-		b.incarnation++
+		b.idNumber++
 	}
 	b.born = time.Now()
 	b.leaving = false
 	b.starting = true
-	return b.life
+	return b.incarnation
 }
 
 // leave empties a back end: it says so, serves on for longer than gateways may
 // send it work, and then ends. Another incarnation comes.
 func (f *fleet) leave(ctx context.Context, b *backEnd) {
-	id, life := b.id(), b.lifeNow()
+	id, incarnation := b.id(), b.currentIncarnation()
 	b.setLeaving()
 	f.store.putBackEnd(b.entry())
 	f.check.leaving(id)
 	sleep(ctx, leavingBound+servesAfterBound)
-	if b.lifeNow() != life {
+	if b.currentIncarnation() != incarnation {
 		// It has crashed or left meanwhile: the life of the moment isn't leaving, and its
 		// entry must not be left behind.
 		return
@@ -300,15 +300,15 @@
 
 // writeStrange lets another writer list a back end that nobody can use, and replace a good
 // entry by one that can't be read, for a while.
-func (f *fleet) writeStrange(ctx context.Context, b *backEnd, fault Fault) {
-	name, life := fmt.Sprintf("strange-%d", fault.Target), b.lifeNow()
+func (f *fleet) writeUnreadable(ctx context.Context, b *backEnd, fault Fault) {
+	name, incarnation := fmt.Sprintf("strange-%d", fault.Target), b.currentIncarnation()
 	f.store.putBackEnd(catalog.BackEnd{ID: name, Service: service, Address: "nowhere", Zone: b.zone, Slots: slots})
 	unreadable := b.entry()
 	unreadable.Zone = ""
 	f.store.putBackEnd(unreadable)
 	sleep(ctx, fault.For)
 	f.store.removeBackEnd(name)
-	if b.lifeNow() == life && !b.isStarting() {
+	if b.currentIncarnation() == incarnation && !b.isStarting() {
 		f.store.putBackEnd(b.entry())
 	}
 }
--- a/internal/soak/warmup.go
+++ b/internal/soak/warmup.go
@@ -8,24 +8,24 @@
 
 const (
 	// awayPause is the time between two tries of an operator while the store is away.
-	awayPause = 50 * time.Millisecond
+	operatorRetryPause = 50 * time.Millisecond
 	// tellingPause is how long a back end that turned cold takes to tell the store.
-	tellingPause = 600 * time.Millisecond
+	coldReportDelay = 600 * time.Millisecond
 )
 
 // evacuate orders that a zone gets nothing new, and takes it back. The zone's back ends
 // turn cold with that.
 func (f *fleet) evacuate(ctx context.Context, zone string, wait func()) {
-	f.order(ctx, zone, 1)
+	f.orderEvacuation(ctx, zone, 1)
 	wait()
-	f.order(ctx, zone, -1)
+	f.orderEvacuation(ctx, zone, -1)
 }
 
 // order changes the number of faults that evacuate the zone, and tells the store where
 // that makes a difference. An operator tries until the store takes it.
-func (f *fleet) order(ctx context.Context, zone string, by int) {
-	for f.store.isAway() && ctx.Err() == nil {
-		sleep(ctx, awayPause)
+func (f *fleet) orderEvacuation(ctx context.Context, zone string, by int) {
+	for f.store.isUnavailable() && ctx.Err() == nil {
+		sleep(ctx, operatorRetryPause)
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -33,9 +33,9 @@
 	switch {
 	case by > 0 && f.evacuated[zone] == 1:
 		f.store.putEvacuation(zone, false)
-		f.check.evacuated(zone)
+		f.check.evacuationOrdered(zone)
 	case by < 0 && f.evacuated[zone] == 0:
-		f.check.restored(zone)
+		f.check.evacuationWithdrawn(zone)
 		for _, b := range f.everyBackEnd() {
 			if b.zone == zone {
 				f.turnCold(ctx, b)
@@ -51,40 +51,40 @@
 	if b.isStarting() {
 		return
 	}
-	id, life := b.makeCold()
-	f.check.cold(id, afterEvacuation)
-	f.check.serving.Go(func() {
-		sleep(ctx, tellingPause)
-		if b.lifeNow() == life {
+	id, incarnation := b.makeCold()
+	f.check.warmUpBegan(id, afterEvacuation)
+	f.check.tasks.Go(func() {
+		sleep(ctx, coldReportDelay)
+		if b.currentIncarnation() == incarnation {
 			f.store.putBackEnd(b.entry())
 		}
-		f.listWarm(ctx, b, life)
+		f.listWarm(ctx, b, incarnation)
 	})
 }
 
 // listCold lists a back end that has just started.
 func (f *fleet) listCold(ctx context.Context, b *backEnd, cause warmUpCause) {
-	id, life := b.makeCold()
-	f.check.cold(id, cause)
+	id, incarnation := b.makeCold()
+	f.check.warmUpBegan(id, cause)
 	f.store.putBackEnd(b.entry())
-	f.check.serving.Go(func() { f.listWarm(ctx, b, life) })
+	f.check.tasks.Go(func() { f.listWarm(ctx, b, incarnation) })
 }
 
 // listWarm tells the store once the back end is warm, if it is still there.
-func (f *fleet) listWarm(ctx context.Context, b *backEnd, life int) {
+func (f *fleet) listWarm(ctx context.Context, b *backEnd, incarnation int) {
 	sleep(ctx, warmUpTime)
-	if b.lifeNow() == life && b.entry().WarmUp == 0 {
+	if b.currentIncarnation() == incarnation && b.entry().WarmUp == 0 {
 		f.store.putBackEnd(b.entry())
 	}
 }
 
 // makeCold begins a warm-up and returns the ID and the number of the life.
-func (b *backEnd) makeCold() (id string, life int) {
+func (b *backEnd) makeCold() (id string, incarnation int) {
 	id = b.id()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.coldUntil, b.starting = time.Now().Add(warmUpTime), false
-	return id, b.life
+	return id, b.incarnation
 }
 
 // warmUpCause is why a back end is cold.
@@ -101,20 +101,20 @@
 
 // restartIsTold is how long the store's entry takes to reach all gateways: until then nobody
 // can know that a back end which is back under its ID is another.
-const restartIsTold = time.Second
+const restartPropagation = time.Second
 
 // warming is a warm-up of a back end.
-type warming struct {
+type warmUpPeriod struct {
 	backEnd  string
 	from, to time.Time
 	cause    warmUpCause
 }
 
-func (c *checker) cold(id string, cause warmUpCause) {
+func (c *checker) warmUpBegan(id string, cause warmUpCause) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
-	c.warmings = append(c.warmings, warming{backEnd: id, from: now, to: now.Add(warmUpTime), cause: cause})
+	c.warmUps = append(c.warmUps, warmUpPeriod{backEnd: id, from: now, to: now.Add(warmUpTime), cause: cause})
 }
 
 // evacuation is an order on a zone.
@@ -123,13 +123,13 @@
 	from, to time.Time
 }
 
-func (c *checker) evacuated(zone string) {
+func (c *checker) evacuationOrdered(zone string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.evacuations = append(c.evacuations, evacuation{zone: zone, from: time.Now()})
 }
 
-func (c *checker) restored(zone string) {
+func (c *checker) evacuationWithdrawn(zone string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for i := range c.evacuations {
@@ -140,12 +140,12 @@
 }
 
 // checkEvacuation checks that a request didn't go to a zone that is evacuated.
-func (c *checker) checkEvacuation(s sending, a arrival) {
+func (c *checker) checkEvacuation(s sentRequest, a arrival) {
 	for _, each := range c.evacuations {
 		if each.zone != a.zone || !each.to.IsZero() || a.at.Sub(each.from) <= evacuationBound+slack {
 			continue
 		}
-		if c.inTouch(s.gateway, each.from, a.at) && !c.heldUp(a) {
+		if c.undisturbed(s.gateway, each.from, a.at) && !c.linkDisturbed(a) {
 			c.failLocked(PromiseEvacuation, "%s in %s got %s from %s %v after the order", a.backEnd, a.zone, a.request, s.gateway, a.at.Sub(each.from).Round(time.Millisecond))
 		}
 	}
@@ -153,7 +153,7 @@
 
 // linkOf names the place of trouble at the link of a back end: what is held up there
 // arrives all at once.
-func linkOf(name string) string { return name + " link" }
+func linkPlace(name string) string { return name + " link" }
 
 // judgeWarmUps checks how much each back end got in any second while it was cold.
 func (c *checker) judgeWarmUps() {
@@ -163,26 +163,26 @@
 			times[each.backEnd] = append(times[each.backEnd], each.at)
 		}
 	}
-	for _, each := range c.warmings {
+	for _, each := range c.warmUps {
 		c.judgeWarmUp(each, times[each.backEnd])
 	}
 }
 
-func (c *checker) judgeWarmUp(warming warming, times []time.Time) {
-	name := nameOf(warming.backEnd)
-	if warming.cause != afterStart && c.disturbed(warming.from.Add(-contact), warming.to, everywhere) {
+func (c *checker) judgeWarmUp(period warmUpPeriod, times []time.Time) {
+	name := nameOf(period.backEnd)
+	if period.cause != afterStart && c.disturbed(period.from.Add(-quietTime), period.to, everywhere) {
 		return
 	}
-	if c.disturbed(warming.from.Add(-contact), warming.to, linkOf(name)) {
+	if c.disturbed(period.from.Add(-quietTime), period.to, linkPlace(name)) {
 		return
 	}
-	from := warming.from
-	if warming.cause == afterRestart {
-		from = from.Add(restartIsTold)
+	from := period.from
+	if period.cause == afterRestart {
+		from = from.Add(restartPropagation)
 	}
 	var cold []time.Time
 	for _, at := range times {
-		if !at.Before(from) && at.Before(warming.to) {
+		if !at.Before(from) && at.Before(period.to) {
 			cold = append(cold, at)
 		}
 	}
@@ -193,7 +193,7 @@
 			count++
 		}
 		if float64(count) > warmUpOverage*warmUpRate+warmUpExtra {
-			c.failLocked(PromiseWarmUp, "%s got %d requests in one second, %v after it turned cold", warming.backEnd, count, at.Sub(warming.from).Round(time.Millisecond))
+			c.failLocked(PromiseWarmUp, "%s got %d requests in one second, %v after it turned cold", period.backEnd, count, at.Sub(period.from).Round(time.Millisecond))
 			return
 		}
 	}
--- a/internal/soak/wire/wire.go
+++ b/internal/soak/wire/wire.go
@@ -31,7 +31,7 @@
 	// WriteLeaving adds that the back end leaves.
 	WriteLeaving(header http.Header)
 	// WriteAsk adds what a caller says of its request.
-	WriteAsk(header http.Header, ask Ask)
+	WriteCallerRequest(header http.Header, ask CallerRequest)
 	// ReadStamp returns a back end's mark, or "".
 	ReadStamp(header http.Header) string
 }
@@ -45,7 +45,7 @@
 	BackEnds
 	Evacuations
 	// Own are those that the gateways write.
-	Own
+	GatewayObjects
 	// Rollouts are orders to move a service to another version. Gateways write how far they
 	// have come.
 	Rollouts
@@ -75,8 +75,8 @@
 	// Watch is true for the answer to a watch.
 	Watch bool
 	// At is the store's revision, and Era its era; 0 for a store that tells none.
-	At  uint64
-	Era uint64
+	Revision uint64
+	Era      uint64
 	// Entries are in order of their names in a list, of their revisions in a watch.
 	Entries []StoreEntry[T]
 }
@@ -106,7 +106,7 @@
 }
 
 // Ask is what a caller says of its request.
-type Ask struct {
+type CallerRequest struct {
 	// Request is its ID and Key the tenant's.
 	Request string
 	Key     string
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -119,7 +119,7 @@
 }
 
 // enter waits for a place in the batch, the highest priority first.
-func (e *Engine) enter(ctx context.Context, priority int) error {
+func (e *Engine) acquire(ctx context.Context, priority int) error {
 	e.mutex.Lock()
 	if e.running < e.config.MaxBatch {
 		e.running++
@@ -149,17 +149,17 @@
 		e.waiting = slices.Delete(e.waiting, i, i+1)
 		return
 	}
-	e.leaveLocked()
+	e.releaseLocked()
 }
 
-func (e *Engine) leave() {
+func (e *Engine) release() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.leaveLocked()
+	e.releaseLocked()
 }
 
 // leaveLocked hands the place to the next waiter.
-func (e *Engine) leaveLocked() {
+func (e *Engine) releaseLocked() {
 	if len(e.waiting) > 0 {
 		close(e.waiting[0].ready)
 		e.waiting = slices.Delete(e.waiting, 0, 1)
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -25,7 +25,7 @@
 	return fmt.Sprintf(`{"model":"m","stream":%v,"max_tokens":4,"messages":[{"role":"user","content":%q}]}`, stream, text)
 }
 
-func TestEngineCachesPrefixesAndTellsOfIt(t *testing.T) {
+func TestEngineReportsPrefixCacheEvents(t *testing.T) {
 	is := is.New(t)
 	engine := NewEngine(EngineConfig{DecodeStep: time.Microsecond, CachedPrefixes: 1})
 	handler := engine.Handler()
@@ -45,7 +45,7 @@
 	is.Equal(exported.Code, http.StatusNotFound) // it was evicted
 }
 
-func TestEngineMovesKV(t *testing.T) {
+func TestEngineExportsAndImportsKVBlocks(t *testing.T) {
 	is := is.New(t)
 	from := NewEngine(EngineConfig{DecodeStep: time.Microsecond})
 	to := NewEngine(EngineConfig{DecodeStep: time.Microsecond})
@@ -57,7 +57,7 @@
 	is.True(!bytes.Contains(answer.Body.Bytes(), []byte(`"cached_tokens":0`)))
 }
 
-func TestEngineResumesAStream(t *testing.T) {
+func TestEngineResumesStream(t *testing.T) {
 	is := is.New(t)
 	handler := NewEngine(EngineConfig{DecodeStep: time.Microsecond}).Handler()
 	whole := call(t, handler, "POST", "/v1/chat/completions", chat(true, "a question"))
@@ -68,7 +68,7 @@
 	is.True(strings.HasPrefix(string(rest), "id: 2\n"))
 }
 
-func TestEngineRefusesAnOldEpoch(t *testing.T) {
+func TestEngineRejectsOrderWithOlderEpoch(t *testing.T) {
 	is := is.New(t)
 	engine := NewEngine(EngineConfig{Models: []string{"m"}})
 	is.Equal(call(t, engine.Handler(), "POST", "/orders", `{"epoch":5,"load_models":["n"]}`).Code, http.StatusNoContent)
--- a/internal/standin/enginechat.go
+++ b/internal/standin/enginechat.go
@@ -111,10 +111,10 @@
 		request.MaxTokens = defaultMaxTokens
 	}
 	priority, _ := strconv.Atoi(r.Header.Get("X-Priority"))
-	if err := e.enter(r.Context(), priority); err != nil {
+	if err := e.acquire(r.Context(), priority); err != nil {
 		return
 	}
-	defer e.leave()
+	defer e.release()
 	e.mutex.Lock()
 	e.runs = append(e.runs, Run{RequestID: r.Header.Get(HeaderRequestID)})
 	e.mutex.Unlock()
@@ -155,7 +155,7 @@
 	e.mutex.Lock()
 	e.streams[answer.ID] = kept
 	e.mutex.Unlock()
-	time.AfterFunc(streamKept, func() { e.forgetStream(answer.ID) })
+	time.AfterFunc(streamRetention, func() { e.dropStream(answer.ID) })
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("X-Stream-Id", answer.ID)
 	flusher := http.NewResponseController(w)
@@ -190,9 +190,9 @@
 }
 
 // streamKept is how long a stream can be resumed.
-const streamKept = 30 * time.Second
+const streamRetention = 30 * time.Second
 
-func (e *Engine) forgetStream(id string) {
+func (e *Engine) dropStream(id string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	delete(e.streams, id)
