--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs a whole small fleet in one process, with stand-ins for the
-// platform, the engines and a plain service.
+// Package demo runs a small complete fleet in one process, with stand-ins for the platform, the
+// engines and a plain service.
 package demo
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/harriernotch/harriernotch/internal/standin"
 )
 
-// Names that the demo's bundle uses.
+// Names in the demo's bundle.
 const (
 	Model       = "demo-model"
 	ServicePath = "/exercises/"
@@ -32,7 +32,7 @@
 
 	engineCount  = 2
 	serviceCount = 1
-	// readyWithin is how long the fleet may take to come up.
+	// readyTimeout bounds the time until the fleet is ready.
 	readyTimeout = 20 * time.Second
 )
 
@@ -40,32 +40,32 @@
 type Fleet struct {
 	// Key is the demo tenant's bearer key.
 	Key string
-	// Address is the router's listener for callers.
+	// Address is the address of the router's listener for callers.
 	Address string
-	// AdminAddress is the router's admin listener.
+	// AdminAddress is the address of the router's admin listener.
 	AdminAddress string
 
 	nodes    []*daemon.Node
 	standIns []*http.Server
-	// opened are the nodes' listeners until they start.
+	// opened holds the listeners of nodes that haven't started yet.
 	opened openListeners
 }
 
-// backEnd is one stand-in with its agent's addresses.
+// backEnd is the ID and address of one stand-in, with the address of its agent.
 type backEnd struct {
 	id      string
 	address string
 	agent   string
 }
 
-// Start brings the fleet up with the router's callers on the address.
+// Start starts the fleet and waits until it is ready. The router listens for callers on the address.
 func Start(ctx context.Context, listen string, log logrus.FieldLogger) (*Fleet, error) {
 	fleet := &Fleet{Key: randomHex(16), opened: openListeners{}}
 	defer fleet.opened.close()
 	store := standin.NewPlatform()
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make a signing key")
+		return nil, errors.Wrap(err, "generate a signing key")
 	}
 	engines, services, err := fleet.startBackEnds()
 	if err != nil {
@@ -109,7 +109,8 @@
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
 	f.standIns = append(f.standIns, server)
 	go func() { _ = server.Serve(listener) }()
-	// The bundle must name the agents' ports before the agents start.
+	// The bundle names the agents' addresses and is published before the agents start. Their
+	// listeners are therefore opened here.
 	agent, err := f.opened.open(anyPort)
 	if err != nil {
 		return backEnd{}, err
@@ -217,7 +218,7 @@
 	return node, nil
 }
 
-// awaitReady waits until every node takes work.
+// awaitReady waits until every node is ready.
 func (f *Fleet) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
--- a/internal/demo/gateways.go
+++ b/internal/demo/gateways.go
@@ -22,7 +22,7 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// Names of what the gateways' demo serves.
+// Names in the configuration of the gateways' demo.
 const (
 	GatewayHost   = "demo.example"
 	GatewayKey    = "demo-key"
@@ -34,30 +34,33 @@
 	gatewayCount   = 3
 	chatEngines    = 3
 	recordServers  = 2
-	// callerTimeout is how long the printed requests wait.
+	// callerTimeout is the timeout of the routes and of the printed requests.
 	callerTimeout = 10 * time.Second
 	// tokenPause is the time between two events of a stream.
 	tokenPause = 40 * time.Millisecond
 )
 
-// Gateways is a running fleet of gateways over stand-ins of a platform's store, of model
-// engines and of a plain service, all in this process.
+// Gateways is a running fleet of gateways with stand-ins for a platform's store, model engines and
+// a plain service, all in this process.
 type Gateways struct {
-	// Callers are the gateways' listeners for callers, Admins their admin listeners,
-	// and Control is where parts can be killed: POST /kill/NAME.
+	// Callers are the addresses of the gateways' listeners for callers, and Admins those of their
+	// admin listeners. Control is the address of the control listener, where POST /kill/NAME
+	// kills a part.
 	Callers []string
 	Admins  []string
 	Control string
 
 	protocol wire.Protocol
 	mutex    sync.Mutex
-	// parts end what was started, by name, in the order of names.
+	// parts holds the functions that end the started parts, by name; nil once a part has ended.
+	// names lists the parts in the order of their start.
 	parts map[string]func()
 	names []string
 	log   *eventlog.Log
 }
 
-// StartGateways brings the fleet up, with the first gateway's callers on the address.
+// StartGateways starts the fleet and waits until it is ready. The first gateway listens for callers
+// on the address.
 func StartGateways(ctx context.Context, listen string, adapter daemon.Adapter, protocol wire.Protocol, level logrus.Level, logs io.Writer) (*Gateways, error) {
 	g := &Gateways{protocol: protocol, parts: map[string]func(){}, log: eventlog.New(logs, level, nil)}
 	if err := g.start(listen, adapter); err != nil {
@@ -94,7 +97,7 @@
 	return err
 }
 
-// serve runs a handler until its part is killed.
+// serve starts a server with the handler as a part and returns its address.
 func (g *Gateways) serve(name, address string, handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -113,7 +116,7 @@
 	g.names = append(g.names, name)
 }
 
-// Parts returns the names of what Kill may end: all but the control listener.
+// Parts returns the names of the running parts, without the control listener.
 func (g *Gateways) Parts() []string {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -126,7 +129,7 @@
 	return parts
 }
 
-// Kill ends a part at once, as a crash would.
+// Kill ends a part at once, like a crash.
 func (g *Gateways) Kill(name string) error {
 	g.mutex.Lock()
 	end := g.parts[name]
@@ -142,7 +145,7 @@
 // Stop ends all parts, the last started first.
 func (g *Gateways) Stop() {
 	for i := len(g.names) - 1; i >= 0; i-- {
-		_ = g.Kill(g.names[i]) // one that was killed before has ended
+		_ = g.Kill(g.names[i]) // fails only for a part that has ended before
 	}
 	g.log.Close()
 }
@@ -220,7 +223,7 @@
 	}
 }
 
-// controlHandler kills parts.
+// controlHandler serves the control listener.
 func (g *Gateways) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /kill/{name}", func(w http.ResponseWriter, r *http.Request) {
@@ -233,8 +236,8 @@
 	return mux
 }
 
-// Curl returns a command that asks the gateway with the number, as the platform's callers
-// do. The shell gives each request an ID of its own.
+// Curl returns a curl command that sends a request to the gateway with the number, with the headers
+// of the platform's callers. The shell inserts a random ID for each request.
 func (g *Gateways) Curl(gateway int, path, prompt string) string {
 	const id = "REQUEST-ID"
 	header := http.Header{}
--- a/internal/demo/listeners.go
+++ b/internal/demo/listeners.go
@@ -6,11 +6,11 @@
 	"github.com/go-faster/errors"
 )
 
-// anyPort is a free port on loopback.
+// anyPort is a loopback address with any free port.
 const anyPort = "127.0.0.1:0"
 
-// openListeners are listeners by address, opened before the settings that name them: an
-// address that is merely known to be free may be taken before it is listened at.
+// openListeners holds listeners by address. They are opened before the settings that name them are
+// written, since another process could take an address that is known to be free but not yet in use.
 type openListeners map[string]net.Listener
 
 // open opens listeners and returns their addresses.
@@ -27,7 +27,7 @@
 	return opened, nil
 }
 
-// take hands over the listener at the address, or opens one that wasn't.
+// take returns the open listener at the address and removes it from the map, or opens a new one.
 func (l openListeners) take(network, address string) (net.Listener, error) {
 	listener, ok := l[address]
 	if !ok {
@@ -37,9 +37,9 @@
 	return listener, nil
 }
 
-// close closes those that weren't taken.
+// close closes the listeners that weren't taken.
 func (l openListeners) close() {
 	for _, listener := range l {
-		_ = listener.Close() // it carried nothing
+		_ = listener.Close() // it has accepted no connections
 	}
 }
--- a/internal/demo/standins.go
+++ b/internal/demo/standins.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// fixedStore is a stand-in of the platform's store whose contents don't change.
+// fixedStore is a stand-in for the platform's store that ignores the gateways' writes
+// and never reports a change.
 type fixedStore struct {
 	protocol      wire.Protocol
 	configuration catalog.Configuration
@@ -48,7 +49,7 @@
 // ServeHTTP implements http.Handler.
 func (s *fixedStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, writes := s.protocol.ReadStoreWrite(r); writes {
-		return // its contents don't change
+		return // the write is acknowledged and ignored
 	}
 	call := s.protocol.ReadStoreCall(r)
 	if call.Watch {
@@ -72,7 +73,7 @@
 	s.protocol.WriteList(w, answer)
 }
 
-// startStandIn starts a back end and lists it.
+// startStandIn starts a stand-in for a back end and lists it in the store.
 func (g *Gateways) startStandIn(store *fixedStore, name, service string, answer func(w http.ResponseWriter, r *http.Request, name string, forwarded wire.Forwarded)) error {
 	address, err := g.serve(name, anyPort, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		forwarded := g.protocol.ReadForward(r.Header)
@@ -92,13 +93,14 @@
 	return nil
 }
 
-// chat streams an answer that names its engine, from the event that the caller lacks.
+// chat streams an answer that names its engine, starting after the last event that the caller has
+// received.
 func (g *Gateways) chat(w http.ResponseWriter, r *http.Request, name string, forwarded wire.Forwarded) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	words := []string{"this", "answer", "comes", "from", name, "for", forwarded.Tenant, "."}
 	first := 0
 	if _, err := fmt.Sscan(forwarded.ResumeAfter, &first); err != nil {
-		first = 0 // a caller that has no event yet
+		first = 0 // the caller has received no event yet
 	}
 	controller := http.NewResponseController(w)
 	for i := first; i < len(words); i++ {
--- a/internal/objectstore/client.go
+++ b/internal/objectstore/client.go
@@ -17,18 +17,19 @@
 // MaxValueSize is the platform's limit for one value, in bytes.
 const MaxValueSize = 1 << 20
 
-// callTimeout bounds a call beyond the time that a watch waits.
+// callTimeout is the timeout of a call. For a watch, its wait time is added.
 const callTimeout = 3 * time.Second
 
-// HTTPClient speaks the HTTP form of the object API: GET and PUT on
-// /store/KEY, with ETag, If-Match and, for a watch, ?after=VERSION&wait=SECONDS;
-// and GET on /machines.
+// HTTPClient is a client of the HTTP version of the object API and the machine list: GET and PUT on
+// /store/KEY with ETag and If-Match, GET with ?after=VERSION&wait=SECONDS for a watch, and GET on
+// /machines.
 type HTTPClient struct {
 	base   string
 	client *http.Client
 }
 
-// NewHTTPClient returns a client for the base URL. transport may be nil.
+// NewHTTPClient returns a client for the base URL. If transport is nil, the default transport is
+// used.
 func NewHTTPClient(base string, transport http.RoundTripper) *HTTPClient {
 	return &HTTPClient{base: base, client: &http.Client{Transport: transport}}
 }
@@ -133,10 +134,11 @@
 func (c *HTTPClient) call(ctx context.Context, method, path string, header http.Header, body []byte) (*http.Response, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, nil, failure.Wrap(failure.Internal, err, "make a platform call")
+		return nil, nil, failure.Wrap(failure.Internal, err, "create a platform request")
 	}
-	// A write must not be replayed by the transport: its answer would then
-	// tell of the second write, and its own first one would look like a race.
+	// Without GetBody the transport can't replay the body of a write. The answer to a replayed
+	// write would be a conflict with the first attempt, which would look like a concurrent write
+	// by another client.
 	request.GetBody = nil
 	for name, values := range header {
 		request.Header[name] = values
@@ -148,7 +150,7 @@
 	defer response.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(response.Body, MaxValueSize+1))
 	if err != nil {
-		return nil, nil, failure.Wrap(failure.PlatformUnavailable, err, "the platform's answer broke off")
+		return nil, nil, failure.Wrap(failure.PlatformUnavailable, err, "the platform's answer was cut off")
 	}
 	return response, content, nil
 }
--- a/internal/objectstore/publish.go
+++ b/internal/objectstore/publish.go
@@ -13,10 +13,10 @@
 // BundleKey is the object that holds the newest signed bundle.
 const BundleKey = "harriernotch/bundle"
 
-// HistoryKey is the object that keeps the bundle with the number.
+// HistoryKey returns the key of the object that archives the bundle with the number.
 func HistoryKey(number uint64) string { return fmt.Sprintf("harriernotch/bundles/%d", number) }
 
-// Publisher publishes bundles with one conditional update each.
+// Publisher publishes bundles. A single conditional write puts each bundle in force.
 type Publisher struct {
 	objects Objects
 	trusted []ed25519.PublicKey
@@ -29,8 +29,8 @@
 	return &Publisher{objects: objects, trusted: trusted, now: now, pause: pauseFor}
 }
 
-// WithPause replaces the wait between two looks at a doubtful write; the
-// simulation has a clock of its own.
+// WithPause replaces the function that waits before a write with a lost answer is read back. The
+// simulation uses it for its virtual clock. It returns the publisher.
 func (p *Publisher) WithPause(pause func(context.Context, time.Duration) error) *Publisher {
 	p.pause = pause
 	return p
@@ -45,8 +45,8 @@
 	}
 }
 
-// Current returns the published bundle and its object's version; the bundle is
-// nil when none was published.
+// Current returns the published bundle and the version of its object. The bundle is nil if none has
+// been published.
 func (p *Publisher) Current(ctx context.Context) (*bundle.Bundle, uint64, error) {
 	object, err := p.objects.Get(ctx, BundleKey)
 	if err != nil || object.Version == 0 {
@@ -56,8 +56,9 @@
 	return opened, object.Version, err
 }
 
-// Publish puts a signed bundle in force. The second of two racing operators
-// gets failure.Conflict. A lost answer is settled by reading back.
+// Publish puts a signed bundle in force. If two operators publish concurrently, the second one gets
+// failure.Conflict. If the answer to the write is lost, the object is read back to find out whether
+// the write took effect.
 func (p *Publisher) Publish(ctx context.Context, raw []byte) (*bundle.Bundle, error) {
 	next, err := bundle.Open(raw, p.trusted)
 	if err != nil {
@@ -104,13 +105,15 @@
 	return nil
 }
 
+// The object is read back at most readBackAttempts times, each after a wait of readBackPause.
 const (
 	readBackAttempts = 10
 	readBackPause    = 500 * time.Millisecond
 )
 
-// settle finds out whether a write with a lost answer took effect: the writer's
-// own identifier stands in the object if so.
+// resolveLostAnswer finds out whether a write with a lost answer took effect. If it did, the object
+// contains the identifier of the writer's bundle, unless a later bundle has replaced it; then it
+// returns failure.Conflict, since the bundle isn't in force.
 func (p *Publisher) resolveLostAnswer(ctx context.Context, next *bundle.Bundle, lost error) error {
 	for range readBackAttempts {
 		if err := p.pause(ctx, readBackPause); err != nil {
@@ -131,8 +134,9 @@
 	return failure.Wrap(failure.PlatformUnavailable, lost, "it is not known whether the bundle was published; run `bundle publish` with the same file again")
 }
 
-// conflict tells the loser of a race who won. A transport may have delivered
-// the writer's own update before it reported a conflict, so that is checked.
+// resolveConflict returns the error for an operator whose write lost a race, and names the bundle in
+// force in it. It returns nil if that is the writer's own bundle, because a transport may have
+// delivered the write before it reported a conflict.
 func (p *Publisher) resolveConflict(ctx context.Context, next *bundle.Bundle) error {
 	current, _, err := p.Current(ctx)
 	if err != nil {
@@ -149,8 +153,8 @@
 		current.Number, current.Note, current.Number+1))
 }
 
-// archive keeps the bundle for rollback. A failure doesn't undo the
-// publication; the caller is told.
+// archive stores the bundle for a rollback. If it fails, it returns an error, but the publication
+// stays in force.
 func (p *Publisher) archive(ctx context.Context, published *bundle.Bundle) error {
 	_, err := p.objects.Put(ctx, HistoryKey(published.Number), published.Raw, 0)
 	if err == nil || failure.KindOf(err) == failure.Conflict {
--- a/internal/objectstore/publish_test.go
+++ b/internal/objectstore/publish_test.go
@@ -59,7 +59,8 @@
 	is.Equal(current.Identifier, "ours")
 }
 
-// racingObjects lets another operator publish between a read and a write.
+// racingObjects runs race before the first write, so that another operator publishes between a read
+// and a write.
 type racingObjects struct {
 	objectstore.Objects
 	race func()
@@ -96,7 +97,7 @@
 		published, err := publisher.Publish(t.Context(), raw)
 		is.NoErr(err)
 		is.Equal(published.Number, uint64(1))
-		again, err := publisher.Publish(t.Context(), raw) // the same file again does no harm
+		again, err := publisher.Publish(t.Context(), raw) // publishing the same file again is idempotent
 		is.NoErr(err)
 		is.Equal(again.Number, uint64(1))
 	})
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -14,43 +14,45 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// backEnd is a stand-in of an engine or plain service. Its answers can be reckoned
-// from the request alone, so callers can tell whether one is their own.
+// backEnd is a stand-in for an engine or a plain service. Its answers are a function of the
+// request alone, so callers can verify that an answer belongs to their request.
 type backEnd struct {
 	fleet *fleet
 	name  string
-	// address is its link's, where gateways send to.
+	// address is the listening address of its link, to which gateways send.
 	address string
 	zone    string
 	link    *link
 
 	mutex sync.Mutex
-	// incarnation is part of its ID, and life rises with every start, also under the same
-	// ID. born is when this life began.
+	// idNumber is part of its ID. incarnation is the number of the current incarnation, which
+	// rises with every start, also under the same ID, and born is that incarnation's start time.
 	idNumber    int
 	incarnation int
 	born        time.Time
 	leaving     bool
-	// version is that of its software, and ill is what is wrong with it.
+	// version is the version of its software, and defect the defect of that version.
 	version string
 	defect  versionDefect
-	// coldUntil is when this incarnation is warm, and starting is set until it is up.
+	// coldUntil is the end of the current warm-up. starting is set until the current incarnation
+	// is up.
 	coldUntil time.Time
 	starting  bool
-	// lose, spoil, fail, refuse and rest count the faults that ask for it.
+	// lose, spoil, fail, refuse and rest count the active faults of each kind.
 	lose, spoil, fail, refuse, rest int
-	// turn picks a way to spoil an answer.
+	// turn counts the requests and selects the way in which an answer is spoiled.
 	turn int
 }
 
 const (
-	// slots is what a back end tells of its size.
+	// slots is the number of concurrent requests that a back end lists.
 	slots = 8
-	// plainWork is how long a plain answer takes, and eventPause the time between
-	// two events of a stream.
+	// plainWork is the processing time of a plain request. eventPause is the time between two
+	// events of a stream.
 	plainWork  = 30 * time.Millisecond
 	eventPause = 25 * time.Millisecond
-	// fewestEvents and moreEvents bound the length of a stream.
+	// minEvents is the number of events of the shortest streams, and eventCounts the number of
+	// different lengths.
 	minEvents   = 4
 	eventCounts = 12
 )
@@ -61,17 +63,17 @@
 	return fmt.Sprintf("%s-%d", b.name, b.idNumber)
 }
 
-// lifeNow returns the number of the life of the moment.
+// currentIncarnation returns the number of the current incarnation.
 func (b *backEnd) currentIncarnation() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.incarnation
 }
 
-// nameOf returns the name of the back end with an incarnation.
+// nameOf returns the name of the back end with the ID.
 func nameOf(id string) string { return id[:strings.LastIndexByte(id, '-')] }
 
-// entry returns what the store lists.
+// entry returns the back end's current entry for the store.
 func (b *backEnd) entry() catalog.BackEnd {
 	id := b.id()
 	b.mutex.Lock()
@@ -82,26 +84,27 @@
 	}
 }
 
-// isStarting tells whether this incarnation isn't up yet.
+// isStarting returns whether the current incarnation isn't up yet.
 func (b *backEnd) isStarting() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.starting
 }
 
-// misbehave changes one of the counts of faults.
+// changeFaults changes one of the counts of active faults.
 func (b *backEnd) changeFaults(count func(*backEnd) *int, by int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	*count(b) += by
 }
 
-// behaviour is what the back end does with one request.
+// behaviour is the set of faults that apply to one request.
 type behaviour struct {
 	lose, spoil, fail, refuse, rest bool
 	turn                            int
 }
 
+// behaviour counts a request and returns the faults that apply to it.
 func (b *backEnd) behaviour() behaviour {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -174,16 +177,16 @@
 	}
 }
 
-// spoilAnswer sends what isn't the answer, in one of a few ways.
+// spoilAnswer sends an invalid answer; turn selects in which way it is invalid.
 func (b *backEnd) spoilAnswer(w http.ResponseWriter, r *http.Request, forwarded wire.Forwarded, turn int) {
 	protocol := b.fleet.environment.Protocol()
 	switch turn % 3 {
 	case 0: // an answer to another request
 		protocol.WriteStamp(w.Header(), "another", b.id())
 		_, _ = io.WriteString(w, answerOf("another"))
-	case 1: // an answer without its mark
+	case 1: // an answer to another request, without the stamp
 		_, _ = io.WriteString(w, answerOf("another"))
-	default: // an answer that is cut short
+	default: // a truncated answer
 		protocol.WriteStamp(w.Header(), forwarded.Request, b.id())
 		whole := answerOf(forwarded.Request)
 		w.Header().Set("Content-Length", strconv.Itoa(len(whole)))
@@ -192,7 +195,7 @@
 	}
 }
 
-// stream writes the events after the one that the caller has.
+// stream writes the events after the last one that the caller has received.
 func (b *backEnd) stream(w http.ResponseWriter, r *http.Request, forwarded wire.Forwarded) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(w)
@@ -211,8 +214,8 @@
 	}
 }
 
-// bodyOf, answerOf, eventOf and eventsOf are what a request with an ID consists of
-// and is answered with.
+// bodyOf returns the body of the request with the ID. answerOf, eventOf and eventsOf return its
+// plain answer, the numbered event of its stream and the stream's number of events.
 func bodyOf(request, method string) string {
 	if method == http.MethodGet {
 		return ""
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -15,11 +15,11 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// silentLog drops what servers say of broken connections.
+// discardLog returns a logger that discards the servers' messages about broken connections.
 func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// caller sends one request after the other and tells the checks what it got. It
-// keeps its connections while they live.
+// caller sends one request after another and reports the replies to the checker. It reuses its
+// connections.
 type caller struct {
 	fleet  *fleet
 	number int
@@ -31,9 +31,9 @@
 const (
 	// thinkTime is the mean pause between two requests of a caller.
 	thinkTime = 150 * time.Millisecond
-	// callerPatience is how long a caller waits beyond its request's time.
+	// callerGrace is how long a caller waits for the answer beyond its request's timeout.
 	callerGrace = 2 * time.Second
-	// prompts is the number of shared prompt parts.
+	// prompts is the number of different shared prompt prefixes.
 	prompts = 12
 )
 
@@ -47,13 +47,13 @@
 func (c *caller) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		// A request that was begun is waited for, also at the end of the run.
+		// The end of the run doesn't cancel a request that has been sent.
 		c.call(context.WithoutCancel(ctx))
 		sleep(ctx, time.Duration(c.random.ExpFloat64()*float64(thinkTime)))
 	}
 }
 
-// call sends a request and tells the checks what came of it.
+// call sends a random request and reports the reply to the checker.
 func (c *caller) call(ctx context.Context) {
 	g := c.fleet.gateways[c.random.IntN(len(c.fleet.gateways))]
 	c.count++
@@ -84,7 +84,7 @@
 	return c.sendTo(ctx, g, sent, method, sent.prefix+sent.request, prompt)
 }
 
-// sendTo sends a request with the path and reads its answer.
+// sendTo sends a request with the method and path and reads its answer.
 func (c *caller) sendTo(ctx context.Context, g *gatewayState, sent sentRequest, method, path, prompt string) reply {
 	ctx, cancel := context.WithTimeout(ctx, routeTimeout+callerGrace)
 	defer cancel()
@@ -120,8 +120,8 @@
 	return got
 }
 
-// readEvents reads a stream to its end and tells how many events it had and the
-// first that wasn't the next one.
+// readEvents reads a stream to its end. It returns the number of events, and describes the first
+// event that wasn't the expected next one in orderError.
 func readEvents(body io.Reader, request string) (count int, orderError string, err error) {
 	reader := eventstream.NewReader(bufio.NewReader(body))
 	for {
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -11,42 +11,73 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// Promise names what is checked.
+// Promise is the name of a promise that is checked.
 type Promise string
 
-// The promises, as they are named in reports.
+// The promises, by their names in reports. The bounds and exemptions are described at the checks.
 const (
-	PromiseOwn           Promise = "whole and own answers"
-	PromiseOrder         Promise = "streams in order"
-	PromiseUnaltered     Promise = "only what was asked"
-	PromiseNotRun        Promise = "not run is true"
-	PromiseOnce          Promise = "at most once"
-	PromiseAttempts      Promise = "attempts within the route"
-	PromiseBudget        Promise = "retries within the budget"
-	PromiseLeaving       Promise = "leaving"
-	PromiseNotice        Promise = "leaving, told in answers"
-	PromiseRetryAfter    Promise = "rest that was asked for"
-	PromiseEvacuation    Promise = "evacuations"
-	PromiseWarmUp        Promise = "warm-up"
+	// PromiseOwn requires that a complete answer with status 200 carries a back end's stamp and, to
+	// a plain request, is the answer to that request.
+	PromiseOwn Promise = "whole and own answers"
+	// PromiseOrder requires that the events of a stream are its own and arrive in order, and that a
+	// stream with status 200 that ends without an error has all of them.
+	PromiseOrder Promise = "streams in order"
+	// PromiseUnaltered requires that back ends run only requests that a caller sent, with the
+	// caller's body and tenant.
+	PromiseUnaltered Promise = "only what was asked"
+	// PromiseNotRun requires that a request hasn't run if the status of its answer means that it
+	// hasn't.
+	PromiseNotRun Promise = "not run is true"
+	// PromiseOnce requires that a request runs at most once unless its route is repeatable or
+	// resumable.
+	PromiseOnce Promise = "at most once"
+	// PromiseAttempts requires that a request arrives at back ends at most once for each attempt
+	// that its route allows.
+	PromiseAttempts Promise = "attempts within the route"
+	// PromiseBudget requires that the retries of all requests stay within the retry budget.
+	PromiseBudget Promise = "retries within the budget"
+	// PromiseLeaving requires that a back end that is leaving according to the store gets no more
+	// requests.
+	PromiseLeaving Promise = "leaving"
+	// PromiseNotice requires that a back end gets no more requests from a gateway that passed on an
+	// answer in which the back end announced that it is leaving.
+	PromiseNotice Promise = "leaving, told in answers"
+	// PromiseRetryAfter requires that a back end that refused a request with a Retry-After gets at
+	// most restExtra requests from that gateway between restGrace and the end of that time.
+	PromiseRetryAfter Promise = "rest that was asked for"
+	// PromiseEvacuation requires that the back ends of an evacuated zone get no more requests.
+	PromiseEvacuation Promise = "evacuations"
+	// PromiseWarmUp requires that a cold back end gets requests only at a limited rate.
+	PromiseWarmUp Promise = "warm-up"
+	// PromiseConfiguration requires that requests are handled as a configuration in force allows.
 	PromiseConfiguration Promise = "configuration"
-	PromiseNoneLost      Promise = "no request lost"
-	PromiseTimely        Promise = "given up in time, with a time to come back"
-	PromiseRecovery      Promise = "recovery"
-	PromiseWithheld      Promise = "what crashes back ends is withheld"
-	PromiseStart         Promise = "gateways start"
-	PromiseExposure      Promise = "a bad version gets little"
-	PromiseVerdict       Promise = "one verdict on a version"
+	// PromiseNoneLost requires that a request that ran is answered completely.
+	PromiseNoneLost Promise = "no request lost"
+	// PromiseTimely requires that callers get an answer before they stop waiting, and that an answer
+	// whose status means that the request wasn't run has a Retry-After.
+	PromiseTimely Promise = "given up in time, with a time to come back"
+	// PromiseRecovery requires that almost all requests are served once all faults are over.
+	PromiseRecovery Promise = "recovery"
+	// PromiseWithheld requires that requests that are known to crash back ends are withheld.
+	PromiseWithheld Promise = "what crashes back ends is withheld"
+	// PromiseStart requires that a gateway that was stopped or killed starts again.
+	PromiseStart Promise = "gateways start"
+	// PromiseExposure requires that a defective version gets few requests, and none once its
+	// failures are known.
+	PromiseExposure Promise = "a bad version gets little"
+	// PromiseVerdict requires that the verdict on a version isn't replaced by a different state.
+	PromiseVerdict Promise = "one verdict on a version"
 )
 
 // Violation is a broken promise.
 type Violation struct {
 	Promise Promise
 	Detail  string
-	// At is the time from the start of the run.
+	// At is the time since the start of the run.
 	At time.Duration
 }
 
-// sending is a request as its caller sent it.
+// sentRequest is a request as its caller sent it.
 type sentRequest struct {
 	request, gateway, prefix, key string
 	at                            time.Time
@@ -54,7 +85,7 @@
 	crashes string
 }
 
-// reply is what a caller got. status is 0 when there was no answer.
+// reply is the answer that a caller received. status is 0 if there was none.
 type reply struct {
 	at         time.Time
 	status     int
@@ -62,10 +93,10 @@
 	stamp      string
 	body       string
 	events     int
-	// fault is the first event out of order.
+	// orderError describes the first event out of order, or is "".
 	orderError string
-	// whole is false when the answer broke off, late is true when the caller's
-	// patience ended first.
+	// whole is false if the answer was cut off. timedOut is true if no answer began before the
+	// caller stopped waiting.
 	whole, timedOut bool
 	cause           string
 }
@@ -75,20 +106,22 @@
 	request, backEnd, tenant string
 	zone, version            string
 	at                       time.Time
-	// ran is false when the back end refused it, changed is true when its body
-	// wasn't the caller's, and resumed when it continues a stream.
+	// ran is false if the back end refused the request. changed is true if its body differs from
+	// the caller's, and resumed is true if it continues a stream.
 	ran, changed, resumed bool
 }
 
-// everywhere is the place of a trouble that touches all gateways.
+// everywhere is the place of a disturbance that affects all gateways.
 const everywhere = "everywhere"
 
-// span is a trouble at a place. It lasts until ended is set.
+// disturbance is the time in which a fault affects a place: a gateway, a back end, a back end's
+// link, all gateways, or the connections that were silenced. It lasts until ended is set.
 type disturbance struct {
 	place    string
 	from, to time.Time
 	ended    bool
-	// planned is true for a gateway's planned stop, and stopped while a gateway doesn't run.
+	// planned is true for a planned stop of a gateway. stopped is true if the gateway doesn't
+	// run in this time.
 	planned bool
 	stopped bool
 }
@@ -104,32 +137,40 @@
 	keys   map[string]bool
 }
 
-// checker collects what callers, back ends and the operator saw, and judges it.
+// checker collects the observations of callers, back ends and the operator, and checks the
+// promises against them.
 type checker struct {
 	fleet   *fleet
 	started time.Time
-	// serving are tasks of faults that outlive their strike.
+	// tasks are the parts of faults that continue after inject has returned.
 	tasks conc.WaitGroup
 
-	mutex         sync.Mutex
-	sentRequests  map[string]sentRequest
-	order         []string
-	replies       map[string]reply
-	arrivals      map[string][]arrival
-	retries       []time.Time
-	disturbances  []*disturbance
+	mutex sync.Mutex
+	// sentRequests, replies and arrivals are by request ID. order lists the IDs in the order in
+	// which the requests were sent.
+	sentRequests map[string]sentRequest
+	order        []string
+	replies      map[string]reply
+	arrivals     map[string][]arrival
+	// retries holds the times of all arrivals of requests except each request's first.
+	retries      []time.Time
+	disturbances []*disturbance
+	// gatewayStarts and outages hold the time of the last start and the last outage of each
+	// gateway.
 	gatewayStarts map[string]time.Time
 	outages       map[string]*disturbance
 	versions      []version
-	leavingAt     map[string]time.Time
-	warmUps       []warmUpPeriod
-	// crashes are the times at which back ends crashed under crashing requests, by path.
+	// leavingAt is when a back end announced in the store that it is leaving, by its ID.
+	leavingAt map[string]time.Time
+	warmUps   []warmUpPeriod
+	// crashes holds the times at which back ends crashed on crashing requests, by path.
 	crashes map[string][]time.Time
-	// evacuations are all orders on zones so far.
+	// evacuations are all orders to evacuate a zone so far.
 	evacuations []evacuation
 	notices     notices
-	// moves are all orders to move the service to another version.
+	// moveOrders are all orders to move the service to another version.
 	moveOrders []*moveOrder
+	// recoverAt is the time after which requests must be served again.
 	recoverAt  time.Time
 	violations []Violation
 	counts     map[Promise]int
@@ -144,7 +185,8 @@
 	}
 }
 
-// maxViolations is how many violations of one promise are kept in full.
+// maxViolations is the number of violations of one promise that are kept; the others are only
+// counted.
 const maxViolations = 5
 
 func (c *checker) fail(promise Promise, format string, arguments ...any) {
@@ -160,7 +202,7 @@
 	}
 }
 
-// trouble notes that a place is disturbed until the returned function is called.
+// beginDisturbance records that a place is disturbed until the returned function is called.
 func (c *checker) beginDisturbance(place string) (end func()) {
 	return c.addDisturbance(&disturbance{place: place, from: time.Now()})
 }
@@ -178,7 +220,8 @@
 	ended.to, ended.ended = time.Now(), true
 }
 
-// ending notes that a gateway is being ended, began that it starts.
+// gatewayStopping records that a gateway is about to be stopped or killed, and gatewayStarting
+// that it is about to start.
 func (c *checker) gatewayStopping(g *gatewayState, planned bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -214,7 +257,8 @@
 	c.leavingAt[id] = time.Now()
 }
 
-// startedAgain notes that the back end's ID stands for another life, which isn't leaving.
+// backEndRestarted records that the back end's ID belongs to another incarnation now, which isn't
+// leaving.
 func (c *checker) backEndRestarted(id string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -253,20 +297,22 @@
 	c.recoverAt = at.Add(quietTime)
 }
 
-// inTouch tells whether nothing disturbed a gateway for the contact time before
-// from and until to.
+// undisturbed returns whether the gateway had been started by quietTime before from and no
+// disturbance of it or of all gateways overlaps the time from then until to. Only then are the time
+// bounds binding for it.
 func (c *checker) undisturbed(gateway string, from, to time.Time) bool {
 	from = from.Add(-quietTime)
 	return !c.disturbed(from, to, gateway, everywhere) && c.gatewayStarts[gateway].Before(from)
 }
 
-// heldUp tells whether the link of the back end was in trouble of late: what a gateway sent
-// before may have waited there, and arrive later than any bound.
+// linkDisturbed returns whether the link of the back end was disturbed within quietTime before
+// the arrival. A request that a gateway sent in time may have waited in the link and arrive later
+// than any bound.
 func (c *checker) linkDisturbed(a arrival) bool {
 	return c.disturbed(a.at.Add(-quietTime), a.at, linkPlace(nameOf(a.backEnd)))
 }
 
-// disturbed tells whether a trouble at one of the places overlaps the time.
+// disturbed returns whether a disturbance of one of the places overlaps the time.
 func (c *checker) disturbed(from, to time.Time, places ...string) bool {
 	for _, each := range c.disturbances {
 		for _, place := range places {
@@ -278,8 +324,8 @@
 	return false
 }
 
-// backEndsDisturbed tells whether any back end was in trouble in the time, or a
-// moment before.
+// backEndsDisturbed returns whether any back end was disturbed in the time or during the
+// quietTime before it. The places of back ends and of their links begin with "b", and no others do.
 func (c *checker) backEndsDisturbed(from, to time.Time) bool {
 	for _, each := range c.disturbances {
 		if strings.HasPrefix(each.place, "b") && each.overlaps(from.Add(-quietTime), to) {
@@ -289,7 +335,8 @@
 	return false
 }
 
-// strikes notes what struck, for the end of a failed run.
+// faultLog records the injected faults and the verdicts on move orders, to be printed after a
+// failed run.
 type faultLog struct {
 	mutex sync.Mutex
 	start time.Time
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// A crashing request crashes each back end that runs it. Its caller repeats it, under a new
-// ID each time, through any gateway; later faults repeat the same ones.
+// A crashing request crashes every back end that runs it. Its caller repeats it with a new ID each
+// time, through random gateways. Later faults repeat requests with the same contents.
 
 const (
-	// crashingContents is the number of different crashing requests.
+	// crashingContents is the number of different contents of crashing requests.
 	crashingContents = 3
-	// crashingGap is the time between two repeats, and crashingTime how much longer than
-	// the fault they go on: long enough for all gateways to know.
+	// crashingGap is the time between two repeats. They continue for crashingExtraTime after the
+	// fault's duration, long enough for all gateways to learn of the crashes.
 	crashingGap       = 300 * time.Millisecond
 	crashingExtraTime = 5 * time.Second
-	// crashingPath stands in the path of all of them.
+	// crashingPath is part of the path of every crashing request.
 	crashingPath = "crash-"
-	// crashesUntilKnown is the number of crashes under a content after which gateways in
-	// touch may send it crashingRetries times more.
+	// crashesToDetect is the number of crashes on one content after which undisturbed gateways
+	// may send it only crashingRetries more times.
 	crashesToDetect = 3
 	crashingRetries = 3
 )
 
-// isCrashing tells whether a request with the path crashes what runs it.
+// isCrashing returns whether a request with the path crashes the back end that runs it.
 func isCrashing(path string) bool { return strings.Contains(path, crashingPath) }
 
-// repeatCrashing sends one of the crashing requests again and again.
+// repeatCrashing sends a crashing request repeatedly; the fault's target selects its content.
 func (f *fleet) repeatCrashing(ctx context.Context, fault Fault) {
 	c := newCaller(f, -1-fault.Target)
 	defer c.client.CloseIdleConnections()
@@ -42,7 +42,7 @@
 	}
 }
 
-// callCrashing sends a crashing request once and tells the checks what came of it.
+// callCrashing sends a crashing request once and reports the reply to the checker.
 func (c *caller) callCrashing(ctx context.Context, path string) {
 	g := c.fleet.gateways[c.random.IntN(len(c.fleet.gateways))]
 	c.count++
@@ -56,7 +56,7 @@
 	c.fleet.check.received(sent, got)
 }
 
-// crashUnder ends the back end after it has begun to run a crashing request.
+// crashDuring crashes the back end while it runs a crashing request.
 func (b *backEnd) crashDuring(r *http.Request) {
 	incarnation := b.currentIncarnation()
 	sleep(r.Context(), plainWork)
@@ -70,15 +70,15 @@
 	panic(http.ErrAbortHandler)
 }
 
-// crashed notes that a back end crashed under a crashing request.
+// crashed records that a back end crashed while it ran a crashing request.
 func (c *checker) crashed(path string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.crashes[path] = append(c.crashes[path], time.Now())
 }
 
-// judgeCrashing checks that crashing requests were withheld once gateways in touch could know
-// of them.
+// judgeCrashing checks that undisturbed gateways withheld crashing requests once they could know
+// that they crash back ends.
 func (c *checker) judgeCrashing() {
 	late := map[string]int{}
 	for _, id := range c.order {
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -14,9 +14,9 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// Environment is where the gateways run.
+// Environment is the environment in which the gateways run.
 type Environment interface {
-	// Protocol is what the stand-ins speak.
+	// Protocol returns the protocol of the stand-ins.
 	Protocol() wire.Protocol
 	// Listen opens a listener at a free address.
 	Listen() (net.Listener, error)
@@ -24,25 +24,25 @@
 	Address() (string, error)
 	// Dial connects to an address.
 	Dial(ctx context.Context, network, address string) (net.Conn, error)
-	// Gateway prepares a gateway with settings in TOML.
+	// Gateway prepares a gateway with the settings in TOML, without starting it.
 	Gateway(id, settings string) (Gateway, error)
 }
 
-// Gateway is one gateway as faults and callers see it.
+// Gateway controls one gateway.
 type Gateway interface {
-	// Start begins it, after its end too.
+	// Start starts the gateway, also again after it has ended.
 	Start() error
-	// Kill ends it at once, Stop as planned; both return when it has ended.
+	// Kill ends the gateway at once, and Stop gracefully. Both return once it has ended.
 	Kill()
 	Stop()
-	// Reload tells it that its settings changed.
+	// Reload makes the gateway reload its settings.
 	Reload()
-	// Pause freezes it and Resume lets it go on.
+	// Pause suspends the gateway and Resume lets it continue.
 	Pause()
 	Resume()
 }
 
-// Names of what the stand-ins serve.
+// Names in the configuration of the stand-ins.
 const (
 	service  = "s"
 	host     = "chat.example"
@@ -50,10 +50,10 @@
 	spareKey = "key-spare"
 )
 
-// zones are those of the back ends, by turns; gateways run in the first.
+// zones are the zones of the back ends, in rotation. All gateways run in the first.
 var zones = []string{"z", "y"}
 
-// keys are the keys of the tenant; the last may be taken away.
+// keys are the tenant's API keys. RevokeKey removes the last one.
 var keys = []string{"key-1", "key-2", spareKey}
 
 // Prefixes of the routes.
@@ -78,29 +78,33 @@
 	return ""
 }
 
-// Bounds of the deployment: what the checks hold the gateways to.
+// Bounds that the checks enforce on the gateways.
 const (
-	// applyBound is the time within which a configuration is in force, and
-	// leavingBound that after which a leaving back end gets nothing more.
+	// applyBound is the time within which a new configuration must be in force. leavingBound is
+	// the time after which a leaving back end must get no more requests.
 	applyBound   = 2 * time.Second
 	leavingBound = 2 * time.Second
-	// evacuationBound is the same for the zones that are evacuated.
+	// evacuationBound is the time after which the back ends of an evacuated zone must get no more
+	// requests.
 	evacuationBound = 2 * time.Second
-	// warmUpRate is what a back end bears in a second for warmUpTime after its start, and
-	// warmUpOverage times it plus warmUpExtra what it may get.
+	// warmUpRate is the number of requests per second that a back end can serve while it is cold:
+	// for warmUpTime after its start or after an evacuation of its zone. It may get
+	// warmUpOverage times as many plus warmUpExtra.
 	warmUpRate    = 4
 	warmUpTime    = 2 * time.Second
 	warmUpOverage = 1.5
 	warmUpExtra   = 2
-	// contact is how long a gateway must have been untouched to be held to a bound.
+	// quietTime is how long a gateway must have been undisturbed before a time bound applies to
+	// it.
 	quietTime = 3 * time.Second
 	// routeTimeout bounds each request.
 	routeTimeout = 4 * time.Second
-	// retryRatio, retryExtra and retryWindow bound further attempts.
+	// retryRatio, retryExtra and retryWindow bound retries: within a window, at most retryRatio
+	// times the requests plus retryExtra.
 	retryRatio  = 0.2
 	retryExtra  = 30
 	retryWindow = 10 * time.Second
-	// drainDelay and drainTimeout are the gateways' settings.
+	// drainDelay and drainTimeout are settings of the gateways.
 	drainDelay   = 2300 * time.Millisecond
 	drainTimeout = 8 * time.Second
 )
@@ -111,18 +115,19 @@
 	callers   string
 	gateway   Gateway
 	storeLink *link
-	// busy is held while a fault owns the gateway's life.
+	// busy is held while a fault restarts, reloads or pauses the gateway. Other such faults are
+	// skipped in this time.
 	busy sync.Mutex
 }
 
-// fleet is everything of one run.
+// fleet holds the gateways, stand-ins and checks of one run.
 type fleet struct {
 	options     Options
 	environment Environment
 	store       *store
 	backEnds    []*backEnd
-	// candidates are the back ends of the version that the service is moved to, which stand
-	// by until an order is given; moving is held while one stands.
+	// candidates are the back ends of the version that the service is moved to. They are idle
+	// until an order is given. moving is held while an order is in force.
 	candidates []*backEnd
 	moving     sync.Mutex
 	gateways   []*gatewayState
@@ -133,9 +138,9 @@
 
 	mutex   sync.Mutex
 	version uint64
-	// noSpareRoute and noSpareKey count the faults that took them away.
+	// noSpareRoute and noSpareKey count the active faults that remove the spare route and key.
 	noSpareRoute, noSpareKey int
-	// evacuated counts the faults that evacuate a zone.
+	// evacuated counts the active faults that evacuate a zone, by zone.
 	evacuated map[string]int
 }
 
@@ -176,7 +181,7 @@
 	f.serving.Go(func() { _ = server.Serve(listener) })
 }
 
-// newBackEnd makes a back end that can be reached and isn't listed.
+// newBackEnd creates a back end that is reachable but not listed in the store.
 func (f *fleet) newBackEnd(number int) (*backEnd, error) {
 	b := &backEnd{fleet: f, name: fmt.Sprintf("b%02d", number), born: time.Now(), zone: zones[number%len(zones)]}
 	own, err := f.environment.Listen()
@@ -279,7 +284,8 @@
 	f.serving.Wait()
 }
 
-// changeConfiguration publishes a version with what is allowed at the moment.
+// changeConfiguration publishes a new version of the configuration with the routes and keys that
+// are currently allowed.
 func (f *fleet) changeConfiguration() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/soak/strike.go
+++ b/internal/soak/inject.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// restartPause is how long a killed or stopped gateway is away.
+	// gatewayDowntime is the time between the end of a gateway and its restart.
 	gatewayDowntime = 300 * time.Millisecond
-	// lapsePause is how long after an outage the store lists no back end.
+	// emptyListTime is how long the store lists no back ends after an outage.
 	emptyListTime = 800 * time.Millisecond
-	// listedAfterCrash is how long the store still lists one that crashed.
+	// listedAfterCrash is the minimum time for which the store still lists a crashed back end.
 	listedAfterCrash = 2 * time.Second
-	// servesAfterBound is how long a back end goes on after the bound on leaving.
+	// servesAfterBound is how long a leaving back end keeps serving after leavingBound.
 	servesAfterBound = time.Second
 )
 
-// strike carries out one fault and ends it.
+// inject applies one fault and returns once it has ended.
 func (f *fleet) inject(ctx context.Context, fault Fault) {
 	g := f.gateways[fault.Target%len(f.gateways)]
 	b := f.backEnds[fault.Target%len(f.backEnds)]
@@ -74,7 +74,7 @@
 	}
 }
 
-// withGateway runs a step unless another fault owns the gateway's life.
+// withGateway runs the step, or skips it if another fault controls the gateway.
 func (f *fleet) withGateway(g *gatewayState, step func()) {
 	if !g.busy.TryLock() {
 		return
@@ -83,7 +83,7 @@
 	step()
 }
 
-// endGateway ends a gateway and starts it again.
+// restartGateway stops or kills a gateway and starts it again.
 func (f *fleet) restartGateway(ctx context.Context, g *gatewayState, planned bool) {
 	f.withGateway(g, func() {
 		f.check.gatewayStopping(g, planned)
@@ -129,17 +129,20 @@
 }
 
 const (
-	// rewritePause is how long after a restore operators and back ends write theirs again.
+	// rewritePause is the time from a restore until operators and back ends write their objects
+	// again.
 	rewritePause = 1500 * time.Millisecond
-	// lostChanges is how many changes of other writers a restore takes back, and lostPause how
-	// long before it they were made: less than any copy's age.
+	// lostChanges is the number of revisions that other writers use up before a restore.
+	// lostPause is the time between these changes and the restore. It is shorter than the age of
+	// any backup, so that the restore takes them back.
 	lostChanges = 500
 	lostPause   = 300 * time.Millisecond
 )
 
-// restoreStore brings the store back from a copy of that age. The back ends have registered
-// anew since, after many changes: whoever orders by revisions alone takes what is written after
-// the restore for old.
+// restoreStore restores the store from a backup of the given age. After the backup, many
+// revisions are used up and the back ends then register again at high revisions. The restore
+// gives lower revisions out again, so a gateway that orders entries by revision alone takes what
+// is written after the restore for outdated.
 func (f *fleet) restoreStore(ctx context.Context, age time.Duration) {
 	end := f.check.beginDisturbance(everywhere)
 	defer end()
@@ -155,8 +158,8 @@
 	rewrite()
 }
 
-// silence lets all connections go silent. What it disturbs is over once each has been
-// noticed.
+// silence stops all bytes on the open connections. The disturbances that it records end at once: the
+// gateways must detect the silent connections within quietTime.
 func (f *fleet) silence() {
 	places := []string{everywhere, silenced}
 	for _, b := range f.everyBackEnd() {
@@ -171,7 +174,8 @@
 	}
 }
 
-// lapse drops all back ends from the list and lists those again that are up.
+// listNoBackEnds removes all back ends from the store for a short time, and then lists those
+// again that have started.
 func (f *fleet) listNoBackEnds(ctx context.Context) {
 	end := f.check.beginDisturbance(everywhere)
 	defer end()
@@ -186,7 +190,7 @@
 	}
 }
 
-// withdraw takes something out of the configuration and brings it back.
+// withdraw removes a part of the configuration until wait returns, and then adds it again.
 func (f *fleet) withdraw(count func(*fleet) *int, wait func()) {
 	change := func(by int) {
 		f.mutex.Lock()
@@ -237,8 +241,8 @@
 	}
 }
 
-// crash ends a back end; the store notices after a while, and another incarnation
-// comes.
+// crash ends a back end. The store removes its entry after a while, and a back end with a new ID
+// starts at the same address.
 func (f *fleet) crash(ctx context.Context, b *backEnd, wait time.Duration) {
 	id := b.id()
 	b.link.changeFaults(func(l *link) *int { return &l.refused }, 1)
@@ -248,7 +252,8 @@
 	f.bringBack(ctx, b, incarnation, afterStart)
 }
 
-// restartUnderID ends a back end, which is back under its ID before the store has noticed.
+// restartWithSameID ends a back end and starts it again under the same ID. The store lists it
+// throughout.
 func (f *fleet) restartWithSameID(ctx context.Context, b *backEnd, wait time.Duration) {
 	b.link.changeFaults(func(l *link) *int { return &l.refused }, 1)
 	incarnation := b.restart(true)
@@ -257,8 +262,8 @@
 	f.bringBack(ctx, b, incarnation, afterRestart)
 }
 
-// comeBack lets a back end be reached and listed, unless it has ended again meanwhile: then
-// the life of the moment isn't up yet.
+// bringBack makes a back end reachable again and lists it. If the back end has restarted since
+// then, it isn't listed: the current incarnation hasn't finished its own start.
 func (f *fleet) bringBack(ctx context.Context, b *backEnd, incarnation int, cause warmUpCause) {
 	b.link.changeFaults(func(l *link) *int { return &l.refused }, -1)
 	if b.currentIncarnation() == incarnation {
@@ -266,7 +271,7 @@
 	}
 }
 
-// restart begins a new life, under the same ID or another, and returns its number.
+// restart begins a new incarnation, under the same ID or a new one, and returns its number.
 func (b *backEnd) restart(keepsID bool) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -280,8 +285,8 @@
 	return b.incarnation
 }
 
-// leave empties a back end: it says so, serves on for longer than gateways may
-// send it work, and then ends. Another incarnation comes.
+// leave drains a back end: it announces in the store that it is leaving, keeps serving for
+// longer than gateways may send it requests, and then ends. A back end with a new ID replaces it.
 func (f *fleet) leave(ctx context.Context, b *backEnd) {
 	id, incarnation := b.id(), b.currentIncarnation()
 	b.setLeaving()
@@ -289,8 +294,8 @@
 	f.check.leaving(id)
 	sleep(ctx, leavingBound+servesAfterBound)
 	if b.currentIncarnation() != incarnation {
-		// It has crashed or left meanwhile: the life of the moment isn't leaving, and its
-		// entry must not be left behind.
+		// It has crashed, restarted or left in the meantime, and that fault handles its entry. The
+		// current incarnation isn't leaving and must not be removed or restarted here.
 		return
 	}
 	f.store.removeBackEnd(id)
@@ -298,8 +303,8 @@
 	f.listCold(ctx, b, afterStart)
 }
 
-// writeStrange lets another writer list a back end that nobody can use, and replace a good
-// entry by one that can't be read, for a while.
+// writeUnreadable acts as another writer that, for the fault's duration, lists a back end with an
+// unusable address and replaces a valid entry by one that can't be read.
 func (f *fleet) writeUnreadable(ctx context.Context, b *backEnd, fault Fault) {
 	name, incarnation := fmt.Sprintf("strange-%d", fault.Target), b.currentIncarnation()
 	f.store.putBackEnd(catalog.BackEnd{ID: name, Service: service, Address: "nowhere", Zone: b.zone, Slots: slots})
--- a/internal/soak/inprocess.go
+++ b/internal/soak/inprocess.go
@@ -17,9 +17,9 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// InProcess runs gateways in this process over a network in memory, so that whole
-// runs fit on a virtual clock. A kill cuts all of a gateway's connections before it
-// is ended; a pause can't be played and does nothing.
+// InProcess runs gateways in this process over an in-memory network, so that whole runs can use a
+// virtual clock. A kill closes all of a gateway's connections before the gateway ends. A pause
+// isn't possible and has no effect.
 type InProcess struct {
 	protocol wire.Protocol
 	adapter  daemon.Adapter
@@ -29,7 +29,7 @@
 	last  int
 }
 
-// NewInProcess returns an environment of its own.
+// NewInProcess returns an environment with a new, separate network.
 func NewInProcess(protocol wire.Protocol, adapter daemon.Adapter) *InProcess {
 	return &InProcess{protocol: protocol, adapter: adapter, network: pipenet.New()}
 }
@@ -114,13 +114,13 @@
 func (g *inProcessGateway) Pause()  {}
 func (g *inProcessGateway) Resume() {}
 
-// discard drops log lines.
+// discard discards log lines.
 type discard struct{}
 
 func (discard) Write(line []byte) (int, error) { return len(line), nil }
 
-// cutter is one gateway's way to the network; cut ends all of its connections and
-// lets it make no new ones.
+// gatewayNetwork is one gateway's access to the network. disconnect closes all of the gateway's
+// connections and listeners and prevents new connections.
 type gatewayNetwork struct {
 	network *pipenet.Network
 
@@ -144,8 +144,8 @@
 }
 
 func (n *gatewayNetwork) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	// Without the time that a real connection takes, a gateway that can't connect
-	// would try again in the same moment for ever.
+	// The delay stands for the time that a real connection takes. Without it, a gateway that
+	// can't connect would retry forever without the virtual clock advancing.
 	sleep(ctx, time.Millisecond)
 	conn, err := n.network.Dial(ctx, network, address)
 	if err != nil {
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// slack is added to each bound for the time that the run itself takes.
+// slack is added to time bounds to allow for the delays of the run itself.
 const slack = 300 * time.Millisecond
 
-// checkAnswer checks what one caller got by itself.
+// checkAnswer checks a single answer, independently of all other observations. The mutex is held.
 func (c *checker) checkAnswer(s sentRequest, r reply) {
 	switch {
 	case r.orderError != "":
@@ -23,7 +23,7 @@
 	}
 }
 
-// checkArrival checks a request at a back end by itself.
+// checkArrival checks a request as it arrives at a back end. The mutex is held.
 func (c *checker) checkArrival(a arrival) {
 	s, known := c.sentRequests[a.request]
 	switch {
@@ -43,7 +43,7 @@
 	}
 }
 
-// finish judges what only the whole run shows.
+// finish runs the checks that need the whole run and returns the result.
 func (c *checker) finish() Result {
 	c.tasks.Wait()
 	c.mutex.Lock()
@@ -82,10 +82,11 @@
 	return result
 }
 
-// leastRecovered is the share that must be served once all faults are over.
+// minRecovered is the share of the requests sent after recoverAt that must be served. Crashing
+// requests and those with the spare route or key don't count.
 const minRecovered = 0.95
 
-// judge checks one request against all its arrivals.
+// judge checks one request and its reply against all its arrivals at back ends.
 func (c *checker) judge(s sentRequest, r reply) {
 	arrivals, runs := c.arrivals[s.request], 0
 	for _, each := range arrivals {
@@ -112,7 +113,7 @@
 	c.judgeLost(s, r, runs)
 }
 
-// attemptsOf returns the attempts that the route with the prefix allows.
+// attemptsOf returns the number of attempts that the route with the prefix allows.
 func attemptsOf(prefix string) int {
 	switch prefix {
 	case prefixRepeat:
@@ -124,8 +125,8 @@
 	}
 }
 
-// judgeConfiguration checks that the request was handled as some version allows
-// that may have been in force.
+// judgeConfiguration checks that the request was handled as allowed by at least one version of
+// the configuration that may have been in force at its gateway.
 func (c *checker) judgeConfiguration(s sentRequest, r reply, runs int) {
 	first := 0
 	if c.undisturbed(s.gateway, s.at.Add(-applyBound-slack), r.at) {
@@ -153,8 +154,10 @@
 	}
 }
 
-// judgeKept checks that a request got its final answer: not cut while its gateway
-// and all back ends were sound, and not held beyond its time.
+// judgeLost checks that a request got its final answer: it was not cut off after it had run, and
+// not held beyond its time limit. A request is exempt if any back end, its gateway or all gateways
+// were disturbed during it or in the quietTime before it. A planned stop of its gateway is no
+// such disturbance: it must not lose requests.
 func (c *checker) judgeLost(s sentRequest, r reply, runs int) {
 	if c.backEndsDisturbed(s.at, r.at) || c.disturbedUnplanned(s.gateway, s.at, r.at) {
 		return
@@ -168,7 +171,8 @@
 	}
 }
 
-// unplanned tells whether anything but a planned stop touched the gateway.
+// disturbedUnplanned returns whether anything but a planned stop disturbed the gateway in the
+// time or during the quietTime before it.
 func (c *checker) disturbedUnplanned(gateway string, from, to time.Time) bool {
 	for _, each := range c.disturbances {
 		if (each.place == gateway || each.place == everywhere) && !each.planned && each.overlaps(from.Add(-quietTime), to) {
@@ -178,7 +182,9 @@
 	return false
 }
 
-// judgeBudget checks the further attempts in every window that ends with one.
+// judgeBudget checks the number of retries in every window that ends with a retry. The budget is
+// computed from the busiest of three windows of requests: this one and those that end half a
+// window and a whole window earlier.
 func (c *checker) judgeBudget() {
 	for _, at := range c.retries {
 		retries := 0
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -8,8 +8,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// link carries connections to one target, and can be told to hold up their bytes or
-// to end them: the network's faults, from outside the programs.
+// link is a proxy for connections to one target that simulates network faults: it can block the
+// connections' bytes or close the connections.
 type link struct {
 	dial   func(ctx context.Context, network, address string) (net.Conn, error)
 	target string
@@ -20,10 +20,10 @@
 	ctx      context.Context
 
 	mutex sync.Mutex
-	// held counts the faults that hold up all bytes, deaf those that hold up the
-	// target's, and refused those that end every connection.
+	// blocked counts the active faults that block all bytes, targetBlocked those that block the
+	// bytes from the target, and refused those that close every connection.
 	blocked, targetBlocked, refused int
-	// accepted counts the connections, of which the first silent ones carry nothing more.
+	// accepted counts the connections so far. The first silent of them pass no more bytes.
 	accepted, silent int
 	changed          chan struct{}
 	open             map[net.Conn]bool
@@ -46,7 +46,7 @@
 	l.tasks.Wait()
 }
 
-// hurt changes one of the counts of faults.
+// changeFaults changes one of the counts of active faults.
 func (l *link) changeFaults(count func(*link) *int, by int) {
 	l.mutex.Lock()
 	*count(l) += by
@@ -59,14 +59,14 @@
 	}
 }
 
-// silence makes the connections of the moment silent for good, without a reset.
+// silence permanently stops all bytes on the connections accepted so far, without a reset.
 func (l *link) silence() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.silent = l.accepted
 }
 
-// reset ends all connections.
+// reset closes all connections.
 func (l *link) reset() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -109,7 +109,7 @@
 	back.Wait()
 }
 
-// count returns the number of a new connection.
+// nextNumber returns the number of a new connection.
 func (l *link) nextNumber() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -117,7 +117,7 @@
 	return l.accepted
 }
 
-// note adds or removes a connection; it is false when connections are refused.
+// register adds or removes an open connection. It returns false if connections are refused.
 func (l *link) register(conn net.Conn, added bool) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -132,10 +132,10 @@
 	return true
 }
 
-// copyBytes is the size of one read.
+// copyBytes is the maximum size of one read.
 const copyBytes = 32 << 10
 
-// copy passes bytes on while they may flow, and holds them up otherwise.
+// copy copies bytes while flows returns true, and waits otherwise.
 func (l *link) copy(to, from net.Conn, flows func() bool) {
 	buffer := make([]byte, copyBytes)
 	for {
--- a/internal/soak/movejudge.go
+++ b/internal/soak/movejudge.go
@@ -2,24 +2,26 @@
 
 import "time"
 
-// Bounds on what a version that is bad gets.
+// Bounds on the requests that a defective version gets.
 const (
-	// exposureShare of the requests between the order and its deadline, and exposureExtra more.
+	// exposureShare is the share of the requests between the order and its deadline that a
+	// defective version may get, and exposureExtra the number that it may get in addition.
 	exposureShare = 0.1
 	exposureExtra = 20
-	// rollBackBound is the time after the badAnswersKnown-th bad answer from which it gets none.
+	// rollBackBound is how long a defective version may still get requests after it has failed
+	// failuresToDetect of them.
 	rollBackBound    = 5 * time.Second
 	failuresToDetect = 50
 )
 
-// ordered notes an order.
+// moveOrdered records a move order.
 func (c *checker) moveOrdered(order *moveOrder) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.moveOrders = append(c.moveOrders, order)
 }
 
-// failedByVersion notes an answer that failed since the version is bad.
+// versionFailed records an answer that failed because of the version's defect.
 func (c *checker) versionFailed(version string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -30,7 +32,7 @@
 	}
 }
 
-// judgeMoves checks that bad versions got little, and that verdicts weren't replaced.
+// judgeMoves checks that defective versions got few requests and that no verdict was replaced.
 func (c *checker) judgeMoves() {
 	if replaced := c.fleet.store.replacedVerdictCount(); replaced > 0 {
 		c.failLocked(PromiseVerdict, "%d verdicts were replaced by others", replaced)
@@ -43,8 +45,8 @@
 	}
 }
 
-// judgeExposure checks what gateways in touch sent to a bad version between the order and its
-// deadline.
+// judgeExposure checks the number of requests that undisturbed gateways sent to a defective version
+// between the order and its deadline.
 func (c *checker) judgeExposure(order *moveOrder) {
 	all, exposed := 0, 0
 	for _, id := range c.order {
@@ -63,8 +65,9 @@
 	}
 }
 
-// judgeRollBack checks that gateways in touch sent nothing to a bad version after its bad
-// answers could be known. Those from before the store was last in trouble don't count.
+// judgeRollBack checks that undisturbed gateways sent no requests to a defective version once its
+// failures could be known to them. Failures before the end of the last disturbance of all gateways
+// don't count.
 func (c *checker) judgeRollBack(order *moveOrder) {
 	for _, id := range c.order {
 		for _, each := range c.arrivals[id] {
@@ -80,8 +83,8 @@
 	}
 }
 
-// badAnswersBefore counts the bad answers until the time, from the end of the last trouble that
-// touched all gateways.
+// failuresBefore counts the version's failures until the time, from the end of the last disturbance
+// that affected all gateways.
 func (c *checker) failuresBefore(order *moveOrder, until time.Time) int {
 	var from time.Time
 	for _, each := range c.disturbances {
--- a/internal/soak/movestore.go
+++ b/internal/soak/movestore.go
@@ -8,21 +8,22 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// putRollout gives an order.
+// putRollout writes an operator's order.
 func (s *store) putRollout(order catalog.Rollout) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.rollouts.put(wire.StoreEntry[catalog.Rollout]{Name: service, Revision: s.next(), Value: order})
 }
 
-// removeRollout takes the order back.
+// removeRollout withdraws the order.
 func (s *store) removeRollout() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.rollouts.put(wire.StoreEntry[catalog.Rollout]{Name: service, Revision: s.next(), Gone: true})
 }
 
-// rolloutState returns how far the order to move to the version has come.
+// rolloutState returns the state of the order to move to the version, or rollout.Ordered if it has
+// no state yet.
 func (s *store) rolloutState(version string) rollout.State {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -38,8 +39,8 @@
 	return s.replacedVerdicts
 }
 
-// writeRollout takes how far an order has come, if it is at the revision that the writer knows.
-// What is said of another target is kept and counts for nothing.
+// writeRollout writes the progress of an order if the order is still at the writer's revision. A
+// state for another target is ignored, but the write still succeeds with a new revision.
 func (s *store) writeRollout(w http.ResponseWriter, name string, record catalog.Rollout) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -59,6 +60,6 @@
 		now.Value.State, now.Value.BeganAt = record.State, record.BeganAt
 	}
 	now.Revision = s.next()
-	s.rollouts.history = append(s.rollouts.history, now) // the order is still its operator's
+	s.rollouts.history = append(s.rollouts.history, now) // not put: the operator remains the order's writer
 	s.protocol.WriteObject(w, now.Untyped(), s.era)
 }
--- a/internal/soak/moving.go
+++ b/internal/soak/moving.go
@@ -12,35 +12,37 @@
 	"github.com/harriernotch/harriernotch/internal/rollout"
 )
 
-// An operator orders that the service is moved to back ends of another version, which start
-// beside the standing ones. Once the gateways' verdict says that it is completed, the standing
-// ones stop at once, and come back with the new version; otherwise the new ones leave.
+// An operator orders a move of the service to back ends of another version, the candidates, which
+// start beside the standing ones. If the gateways' verdict is that the move is completed, all
+// standing back ends stop at once and restart with the new version. Afterwards the candidates leave,
+// whatever the verdict.
 
 const (
-	// candidateCount is the number of back ends of the version that is moved to.
 	candidateCount = 3
-	// moveTime is the time of an order, and candidateStart that until its back ends are listed.
+	// moveTime is the duration of an order. candidateStart is the time until its candidates are
+	// listed.
 	moveTime       = 12 * time.Second
 	candidateStart = 300 * time.Millisecond
-	// verdictGrace is how long after its time an order without a verdict is taken back: the
-	// store may have been away.
+	// verdictGrace is how long after the end of its duration an order without a verdict is
+	// withdrawn. The verdict may be late because the store was unavailable.
 	verdictGrace = 8 * time.Second
-	// verdictLook is the time between two looks of the operator at the store.
+	// verdictPollPause is the time between two reads of the order's state by the operator.
 	verdictPollPause = 50 * time.Millisecond
-	// revertedPause is how long after a verdict against it a version's back ends stay, and
-	// replacedPause how long they serve alone until the standing ones are back.
+	// revertedPause is how long the candidates stay after a move that wasn't completed.
+	// replacedPause is how long they stay after a completed move, until the standing back ends
+	// have restarted and warmed up.
 	revertedPause = 2 * time.Second
 	replacedPause = listedAfterCrash + warmUpTime + time.Second
 )
 
-// illness is what is wrong with a version: from a time on, this share of its answers are
-// failures. The zero value is a version that is well.
+// versionDefect is the defect of a version: from a time on, this share of its answers are
+// failures. The zero value means no defect.
 type versionDefect struct {
 	share float64
 	from  time.Time
 }
 
-// strikes tells whether the request is among those that fail.
+// affects returns whether the request fails because of the defect.
 func (d versionDefect) affects(request string, now time.Time) bool {
 	if d.share <= 0 || now.Before(d.from) {
 		return false
@@ -51,7 +53,7 @@
 	return float64(hash.Sum32()%parts) < d.share*parts
 }
 
-// software returns the version and what is wrong with it.
+// software returns the version of the back end's software and the version's defect.
 func (b *backEnd) software() (version string, defect versionDefect) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -64,7 +66,7 @@
 	b.version, b.defect = version, defect
 }
 
-// addCandidates makes the back ends that an order starts.
+// addCandidates creates the candidates, which aren't listed until an order starts them.
 func (f *fleet) addCandidates() error {
 	for i := range candidateCount {
 		b, err := f.newBackEnd(len(f.backEnds) + i)
@@ -86,29 +88,29 @@
 	return all[slices.IndexFunc(all, func(b *backEnd) bool { return b.name == nameOf(id) })]
 }
 
-// move is an order to move the service to a version, given at from.
+// moveOrder is an order, given at from, to move the service to a version.
 type moveOrder struct {
 	version string
 	defect  versionDefect
 	from    time.Time
-	// badAnswersAt are when the version failed a request.
+	// failuresAt holds the times of requests that failed because of the defect.
 	failuresAt []time.Time
 }
 
 const (
-	// wellOneIn is how many versions are drawn for one that is well, and lateOneIn how many of
-	// the others for one that turns bad only after turnsBadAfter.
+	// One in soundOneIn versions has no defect. Of the others, one in lateDefectOneIn begins to
+	// fail only after lateDefectDelay.
 	soundOneIn      = 3
 	lateDefectOneIn = 2
 	lateDefectDelay = moveTime / 4
-	// leastIll is the least share of failures of a bad version, and illSteps the number of
-	// steps of illStep above it that are drawn from.
+	// minFailureShare is the least share of failures of a defective version. The share is drawn
+	// from failureShareSteps values, failureShareStep apart.
 	minFailureShare   = 0.3
 	failureShareStep  = 0.1
 	failureShareSteps = 5
 )
 
-// newMove returns the order that a fault draws.
+// newMoveOrder returns the order for a fault; the fault's target selects the version and defect.
 func newMoveOrder(fault Fault) *moveOrder {
 	drawn := &moveOrder{version: fmt.Sprintf("v%d", fault.Target), from: time.Now()}
 	if fault.Target%soundOneIn == 0 {
@@ -121,7 +123,8 @@
 	return drawn
 }
 
-// moveService gives an order and follows it to its end.
+// moveService gives a move order and carries it out until its end. It does nothing if another order
+// is in force.
 func (f *fleet) moveService(ctx context.Context, fault Fault) {
 	if !f.moving.TryLock() {
 		return
@@ -149,7 +152,8 @@
 	f.store.removeRollout()
 }
 
-// awaitVerdict returns the verdict, or the last state once the operator gives up waiting.
+// awaitVerdict waits for the verdict and returns it, or the last state if there is no verdict in
+// time.
 func (f *fleet) awaitVerdict(ctx context.Context, order *moveOrder) rollout.State {
 	state := rollout.Ordered
 	for ctx.Err() == nil && time.Since(order.from) < moveTime+verdictGrace {
@@ -161,7 +165,7 @@
 	return state
 }
 
-// replaceStanding ends all standing back ends at once. They come back with the new version.
+// replaceStanding ends all standing back ends at once and restarts them with the new version.
 func (f *fleet) replaceStanding(ctx context.Context, order *moveOrder) {
 	for _, b := range f.backEnds {
 		b.install(order.version, order.defect)
@@ -174,7 +178,7 @@
 	sleep(ctx, replacedPause)
 }
 
-// retireCandidates empties the candidates, which then stand by.
+// retireCandidates drains the candidates, which are then idle until the next order.
 func (f *fleet) retireCandidates(ctx context.Context) {
 	for _, b := range f.candidates {
 		b.mutex.Lock()
--- a/internal/soak/notice.go
+++ b/internal/soak/notice.go
@@ -9,24 +9,24 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// Back ends speak of themselves in their answers: that they leave, and for how long they want
-// nothing from the gateway that they refuse.
+// Back ends send two kinds of notices in their answers: that they are leaving, and, with a refusal,
+// for how long they want no requests from that gateway (Retry-After), which is called rest.
 
 const (
-	// untoldTime is how long a back end says that it leaves before the store hears of it.
+	// announceDelay is how long a back end announces only in its answers that it is leaving,
+	// before the store lists it as leaving.
 	announceDelay = 3 * time.Second
-	// restAsked is the time of rest that a back end asks for, restGrace how long a gateway may go
-	// on sending, and restExtra how many requests it may send in the rest of that time.
+	// restTime is the rest that a back end asks for. A gateway may continue to send for restGrace,
+	// and may send restExtra requests in the remaining time.
 	restTime  = 2 * time.Second
 	restGrace = 500 * time.Millisecond
 	restExtra = 2
 )
 
-// silenced is the place of connections that have gone silent: what was answered on them is never
-// heard.
+// silenced is the place of connections that were silenced: answers on them never arrive.
 const silenced = "silenced"
 
-// leaveUntold empties a back end that says so in its answers alone for a while.
+// leaveUnannounced drains a back end that for announceDelay announces it only in its answers.
 func (f *fleet) leaveUnannounced(ctx context.Context, b *backEnd) {
 	incarnation := b.currentIncarnation()
 	b.setLeaving()
@@ -42,7 +42,7 @@
 	b.leaving = true
 }
 
-// isLeaving tells whether the life of the moment has the ID and leaves.
+// isLeaving returns whether the back end currently has the ID and is leaving.
 func (b *backEnd) isLeaving(id string) bool {
 	if b.id() != id {
 		return false
@@ -52,7 +52,7 @@
 	return b.leaving
 }
 
-// speak adds to an answer what the back end says of itself.
+// writeNotices adds the notice that the back end is leaving to an answer, if it is.
 func (b *backEnd) writeNotices(header http.Header, forwarded wire.Forwarded) {
 	if id := b.id(); b.isLeaving(id) {
 		b.fleet.environment.Protocol().WriteLeaving(header)
@@ -60,7 +60,7 @@
 	}
 }
 
-// askForRest refuses a request, and wants nothing more from its gateway for a while.
+// refuseWithRetryAfter refuses a request and asks its gateway for rest with a Retry-After.
 func (b *backEnd) refuseWithRetryAfter(w http.ResponseWriter, forwarded wire.Forwarded) {
 	b.fleet.environment.Protocol().WriteNotRun(w.Header(), forwarded.Request)
 	w.Header().Set("Retry-After", strconv.Itoa(int(restTime/time.Second)))
@@ -68,21 +68,23 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// toldPair is a back end and the gateway that it told something.
+// noticeKey identifies a back end's notices to one gateway.
 type noticeKey struct{ backEnd, gateway string }
 
-// rest is a time for which a back end wants nothing from a gateway.
+// restPeriod is the time in which a back end wants no requests from a gateway. It begins restGrace
+// and slack after the refusal; until then the gateway may continue to send.
 type restPeriod struct {
 	noticeKey
 	from, to time.Time
-	// got counts the requests within it.
+	// got counts the requests in this time.
 	got int
 }
 
-// notices is what back ends told gateways of themselves.
+// notices records the notices that back ends sent to gateways.
 type notices struct {
-	// said is who said that it leaves in the answer to a request, and passedOn when a gateway
-	// passed the first such answer on.
+	// leavingAnnounced is the ID of the back end whose answer to a request announced that it is
+	// leaving, by request. passedOnAt is when a caller first received such an answer through a
+	// gateway.
 	leavingAnnounced map[string]string
 	passedOnAt       map[noticeKey]time.Time
 	rests            []*restPeriod
@@ -92,15 +94,15 @@
 	return notices{leavingAnnounced: map[string]string{}, passedOnAt: map[noticeKey]time.Time{}}
 }
 
-// saysItLeaves notes that the answer to the request says that the back end leaves.
+// leavingAnnounced records that the answer to the request announces that the back end is leaving.
 func (c *checker) leavingAnnounced(request, backEnd string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.notices.leavingAnnounced[request] = backEnd
 }
 
-// notePassedOn notes that a caller has an answer that says that its back end leaves. The mutex is
-// held.
+// notePassedOn records that a caller received an answer which announces that its back end is
+// leaving. The mutex is held.
 func (c *checker) notePassedOn(s sentRequest, r reply) {
 	if r.stamp == "" || c.notices.leavingAnnounced[s.request] != r.stamp {
 		return
@@ -111,7 +113,7 @@
 	}
 }
 
-// asksForRest notes that the back end refuses the request and wants rest.
+// restRequested records that the back end refuses the request and asks for rest.
 func (c *checker) restRequested(request, backEnd string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -122,7 +124,7 @@
 	})
 }
 
-// forgetNotices drops what another life of the back end said.
+// forgetNotices drops the notices of an earlier incarnation of the back end. The mutex is held.
 func (c *checker) forgetNotices(backEnd string) {
 	for key := range c.notices.passedOnAt {
 		if key.backEnd == backEnd {
@@ -136,8 +138,9 @@
 	}
 }
 
-// checkNotices checks that a request didn't come to a back end that had told its gateway not to
-// send it. In touch or not, a gateway is bound by what it heard itself.
+// checkNotices checks that a request didn't go to a back end whose notices forbade its gateway to
+// send it. Unlike for the other bounds, a disturbance of the store or of the gateway's link to it is
+// no excuse, since the gateway received the notice itself. The mutex is held.
 func (c *checker) checkNotices(s sentRequest, a arrival) {
 	key := noticeKey{backEnd: a.backEnd, gateway: s.gateway}
 	if at, leaves := c.notices.passedOnAt[key]; leaves && s.at.Sub(at) > leavingBound && !c.interrupted(s.gateway, at, a.at) {
@@ -153,14 +156,15 @@
 	}
 }
 
-// unheard tells whether the gateway may not have heard of the rest, or has forgotten it.
+// mayHaveMissedRest returns whether the gateway may not have received the request for rest, or may
+// have lost it since.
 func (c *checker) mayHaveMissedRest(a arrival, asked *restPeriod) bool {
 	from := asked.from.Add(-restGrace - slack)
 	return c.interrupted(asked.gateway, from, a.at) || c.disturbed(from, a.at, linkPlace(nameOf(a.backEnd)), silenced)
 }
 
-// interrupted tells whether the gateway was struck since, so that it may have forgotten what it
-// heard. A cut of its link to the store is no such thing.
+// interrupted returns whether the gateway was stopped or paused in the time, so that it may have lost
+// the notices that it received. A fault of its link to the store is no interruption.
 func (c *checker) interrupted(gateway string, from, to time.Time) bool {
 	if !c.gatewayStarts[gateway].Before(from) {
 		return true
--- a/internal/soak/objects.go
+++ b/internal/soak/objects.go
@@ -7,10 +7,11 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// objects are those of one kind that operators or back ends write.
+// objects holds the store's objects of one kind that operators or back ends write.
 type objects[T any] struct {
 	history []wire.StoreEntry[T]
-	// written is what its writer last wrote of each name, whatever the store has kept.
+	// lastWritten is the last entry that the writer of each name wrote, even if the store has
+	// lost it since.
 	lastWritten map[string]wire.StoreEntry[T]
 }
 
@@ -18,16 +19,16 @@
 	return objects[T]{lastWritten: map[string]wire.StoreEntry[T]{}}
 }
 
-// put takes what a writer wrote.
+// put stores an entry from its writer.
 func (o *objects[T]) put(entry wire.StoreEntry[T]) {
 	o.history = append(o.history, entry)
 	o.lastWritten[entry.Name] = entry
 }
 
-// lost stands for the revision of what the store has lost.
+// lostRevision replaces the revision of an entry that the store has lost.
 const lostRevision = 0
 
-// cutBack drops the entries after the revision.
+// truncate drops the entries after the revision.
 func (o *objects[T]) truncate(revision uint64) {
 	o.history = changesUpTo(o.history, revision)
 	for name, entry := range o.lastWritten {
@@ -38,7 +39,7 @@
 	}
 }
 
-// rewrite lets each writer write its last word again, where the store has lost it.
+// rewriteLost makes each writer write its last entry again if the store has lost it.
 func (o *objects[T]) rewriteLost(next func() uint64) {
 	for _, name := range slices.Sorted(maps.Keys(o.lastWritten)) {
 		if entry := o.lastWritten[name]; entry.Revision == lostRevision {
@@ -48,12 +49,12 @@
 	}
 }
 
-// upTo returns the entries up to a revision.
+// changesUpTo returns the entries up to a revision.
 func changesUpTo[T any](history []wire.StoreEntry[T], revision uint64) []wire.StoreEntry[T] {
 	return slices.DeleteFunc(slices.Clone(history), func(entry wire.StoreEntry[T]) bool { return entry.Revision > revision })
 }
 
-// newest returns the last entry of each name.
+// latestByName returns the last entry of each name.
 func latestByName[T any](history []wire.StoreEntry[T]) map[string]wire.StoreEntry[T] {
 	last := map[string]wire.StoreEntry[T]{}
 	for _, entry := range history {
--- a/internal/soak/objects_test.go
+++ b/internal/soak/objects_test.go
@@ -8,8 +8,8 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// Whatever several restores have lost between them, each writer writes its last word again, once,
-// and nothing that it had replaced.
+// After several restores that lost different writes, each writer writes its last entry again exactly
+// once, and no entry that it had replaced before.
 func TestRewriteLostRestoresLatestWritesOnce(t *testing.T) {
 	is := is.New(t)
 	revision := uint64(0)
--- a/internal/soak/processes.go
+++ b/internal/soak/processes.go
@@ -15,22 +15,22 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// Processes runs each gateway as a process of the real program on loopback. Signals
-// go to the processes that it started and to no other.
+// Processes runs each gateway as a separate process of the real program on loopback. It signals
+// only processes that it has started.
 type Processes struct {
 	protocol wire.Protocol
 	program  string
-	// older is the program of another build, which runs by turns with the first one; "" for
-	// none. gateways counts those that were prepared.
+	// older is the program of another build, which alternates with the first one; "" if there is
+	// none. gateways is the number of gateways prepared so far.
 	older    string
 	gateways int
 	folder   string
-	// lastPort is the place of the port that was given out last.
+	// lastPort is the offset from firstPort of the last port that was returned.
 	lastPort int
 }
 
-// NewProcesses returns an environment that runs the program; settings and logs are
-// kept in the folder.
+// NewProcesses returns an environment that runs the program and keeps its settings and logs in the
+// folder.
 func NewProcesses(protocol wire.Protocol, program, folder string) (*Processes, error) {
 	absolute, err := pathOf(program)
 	if err != nil {
@@ -50,15 +50,15 @@
 	return absolute, nil
 }
 
-// UseOlder lets every second gateway begin with another build of the program, and each go over
-// to the other one whenever it starts again: an upgrade and its way back, machine by machine.
+// UseOlder makes every second gateway start with another build of the program, and every gateway
+// switch to the other build at each restart. This simulates a rolling upgrade and its rollback.
 func (e *Processes) UseOlder(program string) error {
 	absolute, err := pathOf(program)
 	e.older = absolute
 	return err
 }
 
-// loopback is where everything listens.
+// loopback is the address of the stand-ins' listeners, with any free port.
 const loopback = "127.0.0.1:0"
 
 // Protocol implements Environment.
@@ -67,12 +67,12 @@
 // Listen implements Environment.
 func (e *Processes) Listen() (net.Listener, error) { return net.Listen("tcp", loopback) }
 
-// Ports of gateways lie below those that the system gives to connections: a
-// gateway that is away for a moment must find its port free.
+// The gateways' ports lie below the system's range of ephemeral ports, so that the port of a
+// gateway that restarts isn't taken by a connection in between.
 const (
 	firstPort = 20_000
 	ports     = 10_000
-	// portsPerRun keeps runs beside each other apart.
+	// portsPerRun separates the ports of runs that are active at the same time.
 	portsPerRun = 128
 )
 
@@ -112,9 +112,9 @@
 	return &process{programs: programs, starts: e.gateways, settings: path, log: log}, nil
 }
 
-// process is a gateway as a process of its own.
+// process is a gateway in a separate process.
 type process struct {
-	// programs run by turns, one for each start.
+	// programs are used in rotation, one for each start.
 	programs []string
 	starts   int
 	settings string
@@ -123,7 +123,8 @@
 	ended    chan struct{}
 }
 
-// startTime is how long a started gateway is given before faults may strike it.
+// startGrace is how long Start waits after it has started the process; until then no fault
+// stops, reloads or pauses the gateway. A process that ends in this time has failed to start.
 const startGrace = 200 * time.Millisecond
 
 func (p *process) Start() error {
@@ -147,7 +148,7 @@
 	}
 }
 
-// signal sends a signal while the process lives.
+// signal sends a signal if the process is still running.
 func (p *process) signal(signal syscall.Signal) {
 	if p.command == nil {
 		return
@@ -155,7 +156,7 @@
 	select {
 	case <-p.ended:
 	default:
-		// It may have ended in this moment; then there is nobody to tell.
+		// The signal fails only if the process has just ended, and is then not needed.
 		_ = p.command.Process.Signal(signal)
 	}
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -11,68 +11,73 @@
 
 // The closed list of kinds.
 const (
-	// KillGateway ends a gateway without warning; it starts again.
+	// KillGateway kills a gateway without a drain and restarts it.
 	KillGateway Kind = "kill_gateway"
-	// KillAllGateways ends all at the same moment.
+	// KillAllGateways kills all gateways at the same moment and restarts them.
 	KillAllGateways Kind = "kill_all_gateways"
-	// StopGateway asks a gateway to stop, as before planned work; it starts again.
+	// StopGateway stops a gateway gracefully, as for planned maintenance, and restarts it.
 	StopGateway Kind = "stop_gateway"
-	// ReloadGateway tells a gateway that its settings changed.
+	// ReloadGateway makes a gateway reload its settings.
 	ReloadGateway Kind = "reload_gateway"
-	// PauseGateway freezes a gateway. Gateways in one process can't be frozen; there
-	// it does nothing.
+	// PauseGateway suspends a gateway's process. With gateways in one process it has no effect,
+	// since they can't be suspended there.
 	PauseGateway Kind = "pause_gateway"
-	// CutStore holds up all bytes between a gateway and the store, ResetStore resets
-	// its connections, and DeafStore holds up only what the store says.
+	// CutStore blocks all bytes between a gateway and the store, ResetStore closes the
+	// gateway's connections to the store and refuses new ones, and CutStoreAnswers blocks only
+	// the bytes from the store to the gateway.
 	CutStore        Kind = "cut_store"
 	ResetStore      Kind = "reset_store"
 	CutStoreAnswers Kind = "deaf_store"
-	// StoreDown lets the store answer nobody, StoreBusy refuse everybody, StoreSlow
-	// answer late, StoreForgets drop its history, and StoreLapses list no back end
-	// for a moment after an outage.
+	// StoreDown makes the store leave every call unanswered, StoreBusy refuse every call,
+	// StoreSlow delay every answer, and StoreDropsHistory drop its history, so that watches can't
+	// continue. StoreListsNone is an outage like StoreDown after which the store lists no back
+	// ends for a short time.
 	StoreDown         Kind = "store_down"
 	StoreBusy         Kind = "store_busy"
 	StoreSlow         Kind = "store_slow"
 	StoreDropsHistory Kind = "store_forgets"
 	StoreListsNone    Kind = "store_lapses"
-	// RestoreStore brings the store back from a copy that is seconds old. What the gateways
-	// wrote since is gone; operators and back ends write theirs again within two seconds.
+	// RestoreStore restores the store from a backup that is seconds old. What the gateways wrote
+	// since the backup is lost. Operators and back ends write their objects again within two
+	// seconds.
 	RestoreStore Kind = "restore_store"
-	// SilentConnections lets the connections of the moment to the store and to all back
-	// ends go silent for good, without a reset, while new ones work.
+	// SilentConnections permanently stops all bytes on the open connections to the store and to
+	// all back ends, without a reset. New connections work.
 	SilentConnections Kind = "silent_connections"
-	// CrashBackEnd ends a back end and all its connections; another incarnation
-	// comes at the same address. DarkBackEnd holds up all its bytes.
+	// CrashBackEnd ends a back end and all its connections. Another one, with a new ID, starts
+	// at the same address. CutBackEnd blocks all bytes to and from a back end.
 	CrashBackEnd Kind = "crash_back_end"
 	CutBackEnd   Kind = "dark_back_end"
-	// LeaveBackEnd empties a back end as planned; another comes.
+	// LeaveBackEnd drains a back end as planned. Another one, with a new ID, replaces it.
 	LeaveBackEnd Kind = "leave_back_end"
-	// LoseAnswers, SpoilAnswers, FailAnswers and RefuseAll are back ends that run
-	// requests and lose, spoil or fail their answers, and ones that refuse.
+	// LoseAnswers, SpoilAnswers and FailAnswers make a back end run requests and then close the
+	// connection without an answer, send a wrong or truncated answer, or answer with an error.
+	// RefuseAll makes it refuse all requests.
 	LoseAnswers  Kind = "lose_answers"
 	SpoilAnswers Kind = "spoil_answers"
 	FailAnswers  Kind = "fail_answers"
 	RefuseAll    Kind = "refuse_all"
-	// EvacuateZone lets nothing new go to the back ends of a zone for a while. They are
-	// cold afterwards.
+	// EvacuateZone orders that no new requests are sent to the back ends of a zone for a while.
+	// The back ends are cold afterwards.
 	EvacuateZone Kind = "evacuate_zone"
-	// ChangeRoute takes a route away and brings it back, RevokeKey takes a key away
-	// and brings it back.
+	// ChangeRoute removes a route and RevokeKey an API key from the configuration, and each adds
+	// it again at the fault's end.
 	ChangeRoute Kind = "change_route"
 	RevokeKey   Kind = "revoke_key"
-	// CrashingRequest is a caller who repeats a request that crashes each back end which
-	// runs it.
+	// CrashingRequest adds a caller that repeats a request that crashes every back end that runs
+	// it.
 	CrashingRequest Kind = "crashing_request"
-	// RestartBackEnd ends a back end, which starts again under its ID before the store has
-	// noticed.
+	// RestartBackEnd ends a back end that restarts under the same ID while the store still lists
+	// it.
 	RestartBackEnd Kind = "restart_back_end"
-	// StrangeEntries lets another writer list what no gateway can read.
+	// UnreadableEntries makes another writer list a back end with an unusable address and replace
+	// the entry of another one by an entry that no gateway can read.
 	UnreadableEntries Kind = "strange_entries"
-	// MoveService orders that the service is moved to back ends of another version, which may
-	// be bad. One order at a time stands.
+	// MoveService orders a move of the service to back ends of another version, which may be
+	// defective. Only one such order is in force at a time.
 	MoveService Kind = "move_service"
-	// LeaveUntold empties a back end that says so in its answers alone at first. AskForRest is
-	// a back end that refuses, and says for how long it wants nothing.
+	// LeaveUnannounced drains a back end that at first announces it only in its answers, not in
+	// the store. RefuseWithRetryAfter makes a back end refuse requests with a Retry-After.
 	LeaveUnannounced     Kind = "leave_untold"
 	RefuseWithRetryAfter Kind = "ask_for_rest"
 )
@@ -89,32 +94,33 @@
 
 // Fault is one entry of a schedule.
 type Fault struct {
-	// Kind is what strikes, At when and For how long.
+	// Kind is the kind of fault, At its start from the start of the schedule, and For its
+	// duration.
 	Kind Kind
 	At   time.Duration
 	For  time.Duration
-	// Target picks the gateway or back end, by number.
+	// Target selects the gateway, back end or variant of the fault, by a number.
 	Target int
 }
 
-// String returns the fault in a few words.
+// String returns the fault's kind and target.
 func (f Fault) String() string { return fmt.Sprintf("%s %d", f.Kind, f.Target) }
 
 const (
-	// faultGap is the mean time between two faults; now and then several come at
-	// once.
+	// faultGap is the mean time between two faults that don't start together.
 	faultGap = 1500 * time.Millisecond
-	// togetherShare is the part of the faults that come with the one before.
+	// burstShare is the share of faults that start at the same moment as the previous one.
 	burstShare = 0.3
-	// shortestFault and longestFault bound how long one lasts.
+	// shortestFault and longestFault bound a fault's duration.
 	shortestFault = 500 * time.Millisecond
 	longestFault  = 6 * time.Second
-	// allGatewaysShare is the part of the drawn kills of all gateways that is kept:
-	// each ends every request under way.
+	// allGatewaysShare is the share of the drawn KillAllGateways faults that is kept, since each
+	// one ends every request in flight.
 	allGatewaysShare = 0.3
 )
 
-// Schedule draws the faults of a seed. Each lies within the duration.
+// Schedule draws the faults of the options' seed. Each starts, and its own duration ends, within the
+// options' Duration. The effects of some kinds last longer.
 func Schedule(options Options) []Fault {
 	random := rand.New(rand.NewPCG(options.Seed, 0))
 	kinds := options.Kinds
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,10 +1,10 @@
-// Package soak runs whole gateways under faults that come from outside them alone
-// (links, signals, the store, back ends, the configuration) and checks, from what
-// callers and back ends see, every promise that can be seen there.
+// Package soak runs complete gateways under injected faults and checks every promise that can be
+// verified from what callers and back ends observe. All faults come from outside the gateways:
+// network links, signals, the store, back ends and the configuration.
 //
-// The same schedule, stand-ins, callers and checks run over two environments:
-// gateways in one process on a virtual clock, for many seeds, and the real programs
-// as separate processes on loopback. The same seed gives the same schedule.
+// The same schedule, stand-ins, callers and checks run in two environments: gateways in one
+// process on a virtual clock, for many seeds, and the real programs as separate processes on
+// loopback. The same options with the same seed give the same schedule.
 package soak
 
 import (
@@ -18,23 +18,24 @@
 
 // Options describe one run.
 type Options struct {
-	// Seed draws the schedule and the callers' choices.
+	// Seed seeds the schedule and the callers' random choices. The schedule also depends on
+	// Duration and Kinds.
 	Seed uint64
-	// Duration is how long faults strike. The run goes on for Settle without any,
-	// and recovery is checked then.
+	// Duration is how long faults are injected. The run then continues for recoveryTime without
+	// faults, and recovery is checked in that time.
 	Duration time.Duration
-	// Gateways, BackEnds (per service) and Callers are the sizes of the fleet.
+	// Gateways, BackEnds and Callers are the sizes of the fleet.
 	Gateways int
 	BackEnds int
 	Callers  int
-	// Kinds are the kinds of faults that are drawn; none stands for all.
+	// Kinds are the kinds of faults to draw from. If it is empty, all kinds are drawn.
 	Kinds []Kind
-	// Disable names mechanisms of the gateways that are switched off, to show that
-	// the checks notice; see dispatch.Disable.
+	// Disable names mechanisms of the gateways to switch off, to show that the checks detect it;
+	// see dispatch.Disable.
 	Disable []string
 }
 
-// draws tells whether faults of the kind may be drawn.
+// includes returns whether faults of the kind may be drawn.
 func (o Options) includes(kind Kind) bool { return len(o.Kinds) == 0 || slices.Contains(o.Kinds, kind) }
 
 // DefaultOptions returns the defaults.
@@ -43,30 +44,31 @@
 }
 
 const (
-	// warmUp is the time before the first fault, settle the time after the last.
+	// leadTime is the time before the first fault. recoveryTime is the time after the last one.
 	leadTime     = 3 * time.Second
 	recoveryTime = 8 * time.Second
 )
 
-// Result is what a run found.
+// Result is the outcome of a run.
 type Result struct {
-	// Seed and Faults tell what was played.
+	// Seed is the run's seed, and Faults the number of faults in its schedule.
 	Seed   uint64
 	Faults int
-	// Requests counts those that callers sent, Served those answered whole, and
-	// Unknown those whose caller can't know whether they ran.
+	// Requests counts the requests that callers sent, Served those that were answered
+	// completely, and Unknown those whose caller can't know whether they ran.
 	Requests int
 	Served   int
 	Unknown  int
-	// Violations are the broken promises, the first few of each.
+	// Violations holds the first few violations of each promise.
 	Violations []Violation
 	// Counts is the number of violations by promise.
 	Counts map[Promise]int
-	// Struck tells in order what struck, with the time from the first fault.
+	// FaultLog lists the injected faults and the verdicts on move orders in order, with the time
+	// since the first entry.
 	FaultLog []string
 }
 
-// Run plays one seed.
+// Run performs one run with the options' seed.
 func Run(ctx context.Context, options Options, environment Environment) (Result, error) {
 	f, err := newFleet(options, environment)
 	if err != nil {
@@ -93,7 +95,7 @@
 	return result, ctx.Err()
 }
 
-// play carries out the faults, each at its time.
+// play injects each fault at its scheduled time and waits until all have ended.
 func (f *fleet) play(ctx context.Context, faults []Fault) {
 	start := time.Now()
 	var running conc.WaitGroup
--- a/internal/soak/store.go
+++ b/internal/soak/store.go
@@ -12,36 +12,36 @@
 	"github.com/harriernotch/harriernotch/internal/soak/wire"
 )
 
-// store is a stand-in of the platform's store. It can be told to misbehave. What it
-// was told is acknowledged at once, as the real one would to the operator.
+// store is a stand-in for the platform's store with injected faults. Writes of operators and back
+// ends are direct calls and take effect at once, independently of the faults.
 type store struct {
 	protocol wire.Protocol
 
 	mutex    sync.Mutex
 	revision uint64
-	// era counts the histories, and times are when the revisions of this one were given, by
-	// revision.
+	// era is the number of the current history and rises with every restore. times holds the
+	// time at which each revision of this history was assigned.
 	era   uint64
 	times map[uint64]time.Time
-	// oldest is the revision from which history is kept.
+	// oldest is the oldest revision from which a watch can continue.
 	oldest         uint64
 	configurations objects[catalog.Configuration]
 	backEnds       objects[catalog.BackEnd]
 	evacuations    objects[catalog.Evacuation]
 	rollouts       objects[catalog.Rollout]
 	gatewayObjects []wire.StoreEntry[[]byte]
-	// overruled counts the verdicts on roll-outs that were replaced by another one.
+	// replacedVerdicts counts the verdicts on roll-outs that were replaced by a different state.
 	replacedVerdicts int
 	changed          chan struct{}
-	// silent keeps every call without an answer, busy refuses it, and slow delays
-	// it; each counts the faults that ask for it.
+	// silent, busy and slow count the active faults that leave every call unanswered, refuse it
+	// and delay its answer.
 	silent, busy, slow int
 }
 
-// slowAnswer is the delay of a store that is slow.
+// slowAnswer is the delay of answers during StoreSlow.
 const slowAnswer = 700 * time.Millisecond
 
-// keptHistory bounds the changes that watches can go back to.
+// maxHistory is the number of past revisions from which a watch can continue.
 const maxHistory = 64
 
 func newStore(protocol wire.Protocol) *store {
@@ -70,15 +70,16 @@
 	s.backEnds.put(wire.StoreEntry[catalog.BackEnd]{Name: id, Revision: s.next(), Gone: true, Value: catalog.BackEnd{ID: id}})
 }
 
-// putEvacuation orders or takes back the evacuation of a zone.
+// putEvacuation orders or withdraws the evacuation of a zone.
 func (s *store) putEvacuation(zone string, withdrawn bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.evacuations.put(wire.StoreEntry[catalog.Evacuation]{Name: zone, Revision: s.next(), Gone: withdrawn})
 }
 
-// restore puts back a copy of that age: what was written since is gone, and its revisions are
-// given out again. It returns what lets operators and back ends write theirs again.
+// restore restores a backup of the given age: later writes are lost, and their revisions are
+// assigned again. The returned function makes operators and back ends write their lost objects
+// again.
 func (s *store) restore(age time.Duration) (rewrite func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,14 +108,14 @@
 	}
 }
 
-// isAway tells whether the store takes nothing from operators at the moment.
+// isUnavailable returns whether operators can't write to the store at the moment.
 func (s *store) isUnavailable() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.silent > 0 || s.busy > 0
 }
 
-// next returns the revision of a change and wakes the watches.
+// next assigns the revision of a change and wakes the watches. The mutex is held.
 func (s *store) next() uint64 {
 	s.revision++
 	s.times[s.revision] = time.Now()
@@ -126,7 +127,7 @@
 	return s.revision
 }
 
-// skip lets other writers make so many changes.
+// advance uses up the number of revisions, like changes of other writers.
 func (s *store) advance(changes uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -135,7 +136,7 @@
 	}
 }
 
-// forget drops the history: watches must read anew.
+// dropHistory drops the history, so that clients must list again before they can watch.
 func (s *store) dropHistory() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -146,7 +147,7 @@
 	s.changed = make(chan struct{})
 }
 
-// misbehave changes one of the counts of faults.
+// changeFaults changes one of the counts of active faults.
 func (s *store) changeFaults(count func(*store) *int, by int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -160,7 +161,7 @@
 	s.mutex.Unlock()
 	switch {
 	case silent:
-		// The server notices that the caller left only once it has read the body.
+		// The server detects that the client has disconnected only once the body has been read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
@@ -186,7 +187,7 @@
 	s.respond(w, call)
 }
 
-// write takes an object of the gateways' own.
+// write creates or removes an object of the gateways.
 func (s *store) write(w http.ResponseWriter, write wire.StoreWrite) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -201,8 +202,9 @@
 	}
 }
 
-// await returns when the watch has something to tell or its time has passed; it is
-// false when the history is gone.
+// awaitChanges waits until there are changes for the watch or its time has passed. It returns
+// false if the watch can't continue: the history after its revision is no longer available, or the
+// store was restored during the watch or to an earlier revision.
 func (s *store) awaitChanges(r *http.Request, call wire.StoreCall) bool {
 	timer := time.NewTimer(call.Wait)
 	defer timer.Stop()
@@ -278,7 +280,7 @@
 	return liveEntries(history)
 }
 
-// since returns the changes after a revision.
+// changesAfter returns the changes after a revision.
 func changesAfter[T any](history []wire.StoreEntry[T], after uint64) []wire.StoreEntry[T] {
 	var list []wire.StoreEntry[T]
 	for _, entry := range history {
@@ -289,7 +291,7 @@
 	return list
 }
 
-// listed returns the newest entry of each name that isn't gone, by name.
+// liveEntries returns the latest entry of each name, ordered by name, without the removed ones.
 func liveEntries[T any](history []wire.StoreEntry[T]) []wire.StoreEntry[T] {
 	var list []wire.StoreEntry[T]
 	for _, entry := range latestByName(history) {
--- a/internal/soak/warmup.go
+++ b/internal/soak/warmup.go
@@ -7,22 +7,24 @@
 )
 
 const (
-	// awayPause is the time between two tries of an operator while the store is away.
+	// operatorRetryPause is the time between two attempts of an operator to write while the
+	// store is unavailable.
 	operatorRetryPause = 50 * time.Millisecond
-	// tellingPause is how long a back end that turned cold takes to tell the store.
+	// coldReportDelay is how long a back end that turned cold takes to update its entry in the
+	// store.
 	coldReportDelay = 600 * time.Millisecond
 )
 
-// evacuate orders that a zone gets nothing new, and takes it back. The zone's back ends
-// turn cold with that.
+// evacuate orders the evacuation of a zone and withdraws it when wait returns. The zone's back ends
+// turn cold with the withdrawal.
 func (f *fleet) evacuate(ctx context.Context, zone string, wait func()) {
 	f.orderEvacuation(ctx, zone, 1)
 	wait()
 	f.orderEvacuation(ctx, zone, -1)
 }
 
-// order changes the number of faults that evacuate the zone, and tells the store where
-// that makes a difference. An operator tries until the store takes it.
+// orderEvacuation changes the number of active faults that evacuate the zone, and writes the first
+// order and the last withdrawal to the store. The operator retries until the store is available.
 func (f *fleet) orderEvacuation(ctx context.Context, zone string, by int) {
 	for f.store.isUnavailable() && ctx.Err() == nil {
 		sleep(ctx, operatorRetryPause)
@@ -45,8 +47,8 @@
 	}
 }
 
-// turnCold makes a back end cold, which tells the store of it a while later. One that is
-// down doesn't: it lists itself once it is up.
+// turnCold makes a back end cold; it updates its entry in the store a while later. A back end that is
+// starting is skipped, since it lists itself as cold once it is up.
 func (f *fleet) turnCold(ctx context.Context, b *backEnd) {
 	if b.isStarting() {
 		return
@@ -62,7 +64,7 @@
 	})
 }
 
-// listCold lists a back end that has just started.
+// listCold lists a back end that has just started, and is cold, in the store.
 func (f *fleet) listCold(ctx context.Context, b *backEnd, cause warmUpCause) {
 	id, incarnation := b.makeCold()
 	f.check.warmUpBegan(id, cause)
@@ -70,7 +72,8 @@
 	f.check.tasks.Go(func() { f.listWarm(ctx, b, incarnation) })
 }
 
-// listWarm tells the store once the back end is warm, if it is still there.
+// listWarm updates the store's entry after the warm-up, if the back end hasn't restarted and isn't
+// cold again.
 func (f *fleet) listWarm(ctx context.Context, b *backEnd, incarnation int) {
 	sleep(ctx, warmUpTime)
 	if b.currentIncarnation() == incarnation && b.entry().WarmUp == 0 {
@@ -78,7 +81,7 @@
 	}
 }
 
-// makeCold begins a warm-up and returns the ID and the number of the life.
+// makeCold begins a warm-up and returns the ID and the incarnation's number.
 func (b *backEnd) makeCold() (id string, incarnation int) {
 	id = b.id()
 	b.mutex.Lock()
@@ -87,23 +90,24 @@
 	return id, b.incarnation
 }
 
-// warmUpCause is why a back end is cold.
+// warmUpCause is the reason for a warm-up.
 type warmUpCause uint8
 
 const (
-	// afterStart: no gateway knows this life but as a cold one.
+	// afterStart is a start under a new ID, which no gateway has seen warm.
 	afterStart warmUpCause = iota
-	// afterRestart: it is back under its ID, and afterEvacuation: its zone was emptied.
-	// Gateways knew it as a warm one, and must have heard of it.
+	// afterRestart is a restart under the same ID. afterEvacuation is the end of an evacuation of
+	// the zone. In both cases gateways have seen the back end warm and must first learn that it
+	// is cold.
 	afterRestart
 	afterEvacuation
 )
 
-// restartIsTold is how long the store's entry takes to reach all gateways: until then nobody
-// can know that a back end which is back under its ID is another.
+// restartPropagation is how long a store entry takes to reach all gateways. Until then no gateway
+// can know that a back end has restarted under its ID.
 const restartPropagation = time.Second
 
-// warming is a warm-up of a back end.
+// warmUpPeriod is a warm-up of a back end.
 type warmUpPeriod struct {
 	backEnd  string
 	from, to time.Time
@@ -117,7 +121,8 @@
 	c.warmUps = append(c.warmUps, warmUpPeriod{backEnd: id, from: now, to: now.Add(warmUpTime), cause: cause})
 }
 
-// evacuation is an order on a zone.
+// evacuation is an order to evacuate a zone. from is the time of the order and to that of its
+// withdrawal, or zero while the order is in force.
 type evacuation struct {
 	zone     string
 	from, to time.Time
@@ -139,7 +144,8 @@
 	}
 }
 
-// checkEvacuation checks that a request didn't go to a zone that is evacuated.
+// checkEvacuation checks that a request didn't go to a zone whose evacuation is in force. The mutex
+// is held.
 func (c *checker) checkEvacuation(s sentRequest, a arrival) {
 	for _, each := range c.evacuations {
 		if each.zone != a.zone || !each.to.IsZero() || a.at.Sub(each.from) <= evacuationBound+slack {
@@ -151,11 +157,11 @@
 	}
 }
 
-// linkOf names the place of trouble at the link of a back end: what is held up there
-// arrives all at once.
+// linkPlace returns the place of disturbances of the back end's link. Requests that are blocked
+// there arrive all at once later.
 func linkPlace(name string) string { return name + " link" }
 
-// judgeWarmUps checks how much each back end got in any second while it was cold.
+// judgeWarmUps checks how many requests each back end got in any second while it was cold.
 func (c *checker) judgeWarmUps() {
 	times := map[string][]time.Time{}
 	for _, arrivals := range c.arrivals {
@@ -168,6 +174,9 @@
 	}
 }
 
+// judgeWarmUp checks one warm-up. The warm-up is exempt if the back end's link was disturbed, since
+// requests that were blocked there arrive all at once. A warm-up that gateways must first learn of is
+// also exempt if all gateways were disturbed. Disturbances in the quietTime before it count too.
 func (c *checker) judgeWarmUp(period warmUpPeriod, times []time.Time) {
 	name := nameOf(period.backEnd)
 	if period.cause != afterStart && c.disturbed(period.from.Add(-quietTime), period.to, everywhere) {
--- a/internal/soak/wire/wire.go
+++ b/internal/soak/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire holds what the stand-ins of a platform say and hear, in the product's
-// own terms, so that the folder that meets the platform needs no more of the soak.
+// Package wire defines the messages that the stand-ins of a platform send and receive, in the
+// product's own terms. A platform's adapter implements Protocol without depending on the rest
+// of package soak.
 package wire
 
 import (
@@ -9,30 +10,30 @@
 	"github.com/harriernotch/harriernotch/internal/catalog"
 )
 
-// Protocol speaks the platform's side of the protocol for the stand-ins: what the
-// store, the back ends and the callers say and hear. It decides nothing.
+// Protocol encodes and decodes the platform's side of the protocol for the stand-ins of the
+// store, the back ends and the callers. It makes no decisions.
 type Protocol interface {
-	// ReadStoreCall returns what a call to the store asks for.
+	// ReadStoreCall parses a list or watch call to the store.
 	ReadStoreCall(request *http.Request) StoreCall
-	// WriteList answers a list or a watch of objects, which are catalog.Configuration,
-	// catalog.BackEnd, catalog.Evacuation, catalog.Rollout, or the bytes of one of the
-	// gateways' own.
+	// WriteList writes the answer to a list or watch call. The values are of type
+	// catalog.Configuration, catalog.BackEnd, catalog.Evacuation or catalog.Rollout, or the
+	// bytes of an object that the gateways write.
 	WriteList(w http.ResponseWriter, answer StoreAnswer[any])
-	// ReadStoreWrite returns what a call writes; ok is false for one that reads.
+	// ReadStoreWrite parses a write call; ok is false for a call that reads.
 	ReadStoreWrite(request *http.Request) (write StoreWrite, ok bool)
-	// WriteObject answers a write with the object as it is now.
+	// WriteObject answers a write with the object's current state.
 	WriteObject(w http.ResponseWriter, entry StoreEntry[any], era uint64)
-	// ReadForward returns what a gateway told a back end.
+	// ReadForward parses the headers that a gateway adds to a forwarded request.
 	ReadForward(header http.Header) Forwarded
-	// WriteStamp marks an answer as the back end's own to the request; WriteNotRun
-	// marks it as the promise that the request was not run.
+	// WriteStamp adds the stamp that marks an answer as the back end's own answer to the request.
+	// WriteNotRun marks it as the back end's declaration that it did not run the request.
 	WriteStamp(header http.Header, request, stamp string)
 	WriteNotRun(header http.Header, request string)
-	// WriteLeaving adds that the back end leaves.
+	// WriteLeaving adds the notice that the back end is leaving.
 	WriteLeaving(header http.Header)
-	// WriteAsk adds what a caller says of its request.
-	WriteCallerRequest(header http.Header, ask CallerRequest)
-	// ReadStamp returns a back end's mark, or "".
+	// WriteCallerRequest adds the headers of a caller's request.
+	WriteCallerRequest(header http.Header, request CallerRequest)
+	// ReadStamp returns the stamp that WriteStamp added to an answer, or "".
 	ReadStamp(header http.Header) string
 }
 
@@ -44,15 +45,15 @@
 	Configurations StoreKind = iota
 	BackEnds
 	Evacuations
-	// Own are those that the gateways write.
+	// GatewayObjects are the objects that the gateways write.
 	GatewayObjects
-	// Rollouts are orders to move a service to another version. Gateways write how far they
-	// have come.
+	// Rollouts are orders to move a service to another version. Gateways write their progress.
 	Rollouts
 )
 
-// StoreWrite is a call that writes one of the gateways' own objects, or removes it, or writes
-// how far the roll-out of that name has come, on the condition that the order is at its revision.
+// StoreWrite is a call that creates or removes one of the gateways' objects, or writes the
+// progress of the named roll-out on the condition that the order is still at the revision given
+// in Rollout.
 type StoreWrite struct {
 	Name    string
 	Gone    bool
@@ -62,9 +63,9 @@
 
 // StoreCall is a call to the store.
 type StoreCall struct {
-	// Kind is what is listed or watched.
+	// Kind is the kind of objects to list or watch.
 	Kind StoreKind
-	// Watch is true where the call waits for changes after a revision.
+	// Watch is true if the call waits, for at most Wait, for changes after revision After.
 	Watch bool
 	After uint64
 	Wait  time.Duration
@@ -74,10 +75,10 @@
 type StoreAnswer[T any] struct {
 	// Watch is true for the answer to a watch.
 	Watch bool
-	// At is the store's revision, and Era its era; 0 for a store that tells none.
+	// Revision is the store's revision. Era is its era, or 0 if the store doesn't report one.
 	Revision uint64
 	Era      uint64
-	// Entries are in order of their names in a list, of their revisions in a watch.
+	// Entries are ordered by name in a list and by revision in a watch.
 	Entries []StoreEntry[T]
 }
 
@@ -89,29 +90,30 @@
 	Value    T
 }
 
-// Untyped returns the entry as one of any kind.
+// Untyped returns the entry with its value as type any.
 func (e StoreEntry[T]) Untyped() StoreEntry[any] {
 	return StoreEntry[any]{Name: e.Name, Revision: e.Revision, Gone: e.Gone, Value: e.Value}
 }
 
-// Forwarded is what a gateway told a back end.
+// Forwarded holds the headers that a gateway adds to a request that it forwards to a back end.
 type Forwarded struct {
-	// Request is the caller's ID, BackEnd the incarnation that is meant.
+	// Request is the caller's request ID. BackEnd is the ID of the back end that the request is
+	// meant for.
 	Request string
 	BackEnd string
 	// Tenant is the authenticated tenant.
 	Tenant string
-	// ResumeAfter is the last event that the caller has, or "".
+	// ResumeAfter is the ID of the last event that the caller has received, or "".
 	ResumeAfter string
 }
 
-// Ask is what a caller says of its request.
+// CallerRequest holds the headers of a caller's request.
 type CallerRequest struct {
-	// Request is its ID and Key the tenant's.
+	// Request is the request's ID and Key the tenant's API key.
 	Request string
 	Key     string
 	// Timeout is how long the caller waits.
 	Timeout time.Duration
-	// Prompt names the shared part of its prompt, or is "".
+	// Prompt identifies the shared prefix of the prompt, or is "".
 	Prompt string
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -12,23 +12,22 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// EngineConfig sets up a model engine.
+// EngineConfig configures a model engine.
 type EngineConfig struct {
 	// Models are the model names it serves.
 	Models []string
-	// MaxBatch is how many requests it decodes together. Default 32.
+	// MaxBatch is the number of requests that it decodes concurrently. Default 32.
 	MaxBatch int
-	// PrefillPerToken is the time to read one uncached prompt token. Default
-	// 50µs.
+	// PrefillPerToken is the prefill time of one uncached prompt token. Default 50µs.
 	PrefillPerToken time.Duration
-	// DecodeStep is the time between two tokens at an empty batch; a full batch
-	// takes twice as long. Default 2ms.
+	// DecodeStep is the time between two tokens with an empty batch. It grows linearly to twice
+	// this time with a full batch. Default 2ms.
 	DecodeStep time.Duration
-	// CachedPrefixes is how many prompt prefixes the cache holds. Default 1024.
+	// CachedPrefixes is the number of prompt prefixes that the cache holds. Default 1024.
 	CachedPrefixes int
-	// LoadLag is how old the reported load is. Default 500ms.
+	// LoadLag is the age of the reported load. Default 500ms.
 	LoadLag time.Duration
-	// EventGap drops every so-manieth cache event; 0 drops none.
+	// EventGap drops every EventGap-th cache event from the reports; 0 drops none.
 	EventGap int
 }
 
@@ -56,20 +55,20 @@
 	runs    []Run
 }
 
-// engineWaiter is a request that waits for a place in the batch.
+// engineWaiter is a request that waits for a slot in the batch.
 type engineWaiter struct {
 	priority int
 	ready    chan struct{}
 }
 
-// loadSample is the load from a moment on.
+// loadSample is the load from a point in time until the next sample.
 type loadSample struct {
 	at      time.Time
 	running int
 	waiting int
 }
 
-// CacheEvent tells of one change of the prefix cache.
+// CacheEvent reports one prefix that was stored in the prefix cache or evicted from it.
 type CacheEvent struct {
 	Sequence int    `json:"sequence"`
 	Prefix   uint64 `json:"prefix"`
@@ -91,7 +90,7 @@
 	return engine
 }
 
-// recordEvent appends a cache event, or loses it. The mutex is held.
+// recordEvent appends a cache event. The mutex is held.
 func (e *Engine) recordEvent(prefix uint64, tokens int, stored bool) {
 	sequence := len(e.events) + 1
 	e.events = append(e.events, CacheEvent{Sequence: sequence, Prefix: prefix, Tokens: tokens, Stored: stored})
@@ -111,14 +110,15 @@
 	return mux
 }
 
-// Runs returns the requests that the engine began to run.
+// Runs returns the requests that the engine has started to run.
 func (e *Engine) Runs() []Run {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return slices.Clone(e.runs)
 }
 
-// enter waits for a place in the batch, the highest priority first.
+// acquire waits for a slot in the batch. The lowest priority number goes first, and requests of
+// equal priority go in order of arrival.
 func (e *Engine) acquire(ctx context.Context, priority int) error {
 	e.mutex.Lock()
 	if e.running < e.config.MaxBatch {
@@ -141,7 +141,7 @@
 	}
 }
 
-// abandon takes a waiter out, or gives back the place it got meanwhile.
+// abandon removes a waiter from the queue, or releases the slot if it has just got one.
 func (e *Engine) abandon(waiter *engineWaiter) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -158,7 +158,7 @@
 	e.releaseLocked()
 }
 
-// leaveLocked hands the place to the next waiter.
+// releaseLocked passes the slot on to the next waiter or frees it. The mutex is held.
 func (e *Engine) releaseLocked() {
 	if len(e.waiting) > 0 {
 		close(e.waiting[0].ready)
@@ -169,6 +169,8 @@
 	e.sampleLoad()
 }
 
+// sampleLoad records the current load and drops samples that are no longer reported. The mutex is
+// held.
 func (e *Engine) sampleLoad() {
 	now := time.Now()
 	e.history = append(e.history, loadSample{at: now, running: e.running, waiting: len(e.waiting)})
@@ -177,7 +179,7 @@
 	}
 }
 
-// laggedLoad returns the load as it was one lag ago.
+// laggedLoad returns the load as of LoadLag ago, or a zero sample if none is that old.
 func (e *Engine) laggedLoad() loadSample {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -190,7 +192,7 @@
 	return seen
 }
 
-// stepTime is the time between two tokens at the present batch.
+// stepTime returns the time between two tokens at the current batch size.
 func (e *Engine) stepTime() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -198,7 +200,8 @@
 	return time.Duration(float64(e.config.DecodeStep) * (1 + share))
 }
 
-// lookUp returns how many tokens of the prompt are cached, and caches it all.
+// lookUp returns the number of the prompt's tokens and of those that were cached. It caches the
+// prefixes of the prompt, one up to the end of each message.
 func (e *Engine) lookUp(messages []chatMessage) (prompt, cached int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -217,7 +220,7 @@
 	return prompt, cached
 }
 
-// bytesPerToken is the usual rough length of a token.
+// bytesPerToken is a rough average length of a token.
 const bytesPerToken = 4
 
 func countTokens(text string) int { return len(text)/bytesPerToken + 1 }
--- a/internal/standin/enginechat.go
+++ b/internal/standin/enginechat.go
@@ -19,7 +19,7 @@
 	Content string `json:"content"`
 }
 
-// chatRequest is the part of the chat API that the engine reads.
+// chatRequest holds the fields of the chat API's request that the engine reads.
 type chatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages"`
@@ -27,7 +27,7 @@
 	MaxTokens int           `json:"max_tokens"`
 }
 
-// Usage is the token count of an answer, in the chat API's form.
+// Usage holds the token counts of an answer in the chat API's format.
 type Usage struct {
 	PromptTokens        int           `json:"prompt_tokens"`
 	CompletionTokens    int           `json:"completion_tokens"`
@@ -35,12 +35,12 @@
 	PromptTokensDetails PromptDetails `json:"prompt_tokens_details"`
 }
 
-// PromptDetails tells how much of the prompt was cached.
+// PromptDetails holds the number of cached prompt tokens.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// chatChoice is one answer, or one piece of it in a stream.
+// chatChoice is one answer, or one part of it in a stream.
 type chatChoice struct {
 	Index        int          `json:"index"`
 	Message      *chatMessage `json:"message,omitempty"`
@@ -58,7 +58,7 @@
 	Usage   *Usage       `json:"usage,omitempty"`
 }
 
-// engineStream keeps a stream's events for a while, so that it can be resumed.
+// engineStream keeps the events of a stream so that the stream can be resumed.
 type engineStream struct {
 	mutex   sync.Mutex
 	events  []string
@@ -87,8 +87,9 @@
 
 const defaultMaxTokens = 16
 
-// replyWords is the engine's answer: it repeats the last message, so that a
-// mixed-up answer is noticed, and fills up with counted words.
+// replyWords returns the words of the engine's answer, one for each token. They repeat the last
+// message, so that an answer to another request is detected, and are padded with numbered words or
+// truncated to max_tokens.
 func replyWords(request chatRequest) []string {
 	last := ""
 	if count := len(request.Messages); count > 0 {
@@ -147,7 +148,7 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// stream sends one event for each token, then the usage, then [DONE].
+// stream sends one event for each token, followed by the usage and [DONE].
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, request chatRequest, answer chatResponse, usage *Usage) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -189,7 +190,7 @@
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", id, raw)
 }
 
-// streamKept is how long a stream can be resumed.
+// streamRetention is how long after its start a stream can be resumed.
 const streamRetention = 30 * time.Second
 
 func (e *Engine) dropStream(id string) {
@@ -242,7 +243,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// pause waits, or returns false when the context ends first.
+// pause waits for the duration. It returns false if the context ends first.
 func pause(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/standin/enginecontrol.go
+++ b/internal/standin/enginecontrol.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// LoadReport is the engine's own, lagging word on its load.
+// LoadReport is the load that the engine reports, with a lag.
 type LoadReport struct {
 	Running   int   `json:"running"`
 	Waiting   int   `json:"waiting"`
 	AgeMillis int64 `json:"age_ms"`
 }
 
-// KVBlock is an exported prefix.
+// KVBlock is the exported KV cache of a prefix.
 type KVBlock struct {
 	Prefix uint64 `json:"prefix"`
 	Tokens int    `json:"tokens"`
 }
 
-// Order is a fenced order to the engine.
+// Order is an order to the engine with an epoch as fencing token.
 type Order struct {
-	// Epoch must not be below the highest that the engine has seen.
+	// Epoch must not be below the highest epoch that the engine has accepted.
 	Epoch uint64 `json:"epoch"`
-	// LoadModels replaces the models served.
+	// LoadModels replaces the list of served models.
 	LoadModels []string `json:"load_models"`
 }
 
@@ -35,7 +35,7 @@
 	_ = json.NewEncoder(w).Encode(report)
 }
 
-// serveEvents returns cache events after a sequence number, with gaps.
+// serveEvents returns the cache events after a sequence number, without those that EventGap drops.
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	e.mutex.Lock()
@@ -74,7 +74,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveOrder refuses an order with an epoch below the highest seen.
+// serveOrder applies an order, or rejects it if its epoch is below the highest one accepted.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
@@ -92,8 +92,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Loaded returns the models that the engine serves and the epoch of the last
-// order.
+// Loaded returns the models that the engine serves and the epoch of the last accepted order.
 func (e *Engine) Loaded() (models []string, epoch uint64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/standin/objects.go
+++ b/internal/standin/objects.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for the outside systems: the platform's
-// object API and machine list, a model engine and a plain service. They serve
-// the demo and the tests, and can be told to fail.
+// Package standin provides small stand-ins for external systems: the platform's object API and
+// machine list, a model engine and a plain service. The demo and the tests use them, and the
+// platform's stand-in can simulate failures.
 package standin
 
 import (
@@ -19,16 +19,15 @@
 	"github.com/harriernotch/harriernotch/internal/objectstore"
 )
 
-// PlatformFaults are the ways in which the stand-in platform can fail.
+// PlatformFaults are the faults that the stand-in platform simulates.
 type PlatformFaults struct {
-	// Down refuses every call.
+	// Down makes every call fail.
 	Down bool
-	// Delay slows every call.
+	// Delay delays every call.
 	Delay time.Duration
-	// LoseAnswers is the number of next writes whose answer is lost after the
-	// write took effect.
+	// LoseAnswers is the number of upcoming writes that take effect but whose answers are lost.
 	LoseAnswers int
-	// MachineLag is how far the machine list lags.
+	// MachineLag is the delay until readers see a new machine list.
 	MachineLag time.Duration
 }
 
@@ -43,7 +42,7 @@
 	machines []machineState
 }
 
-// machineState is a machine list as of a moment.
+// machineState is a machine list that was set at a point in time.
 type machineState struct {
 	at   time.Time
 	list []coordination.Machine
@@ -68,14 +67,14 @@
 	return p.calls
 }
 
-// SetMachines replaces the machine list; readers see it after the lag.
+// SetMachines replaces the machine list. Readers see the new one after MachineLag.
 func (p *Platform) SetMachines(list []coordination.Machine) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.machines = append(p.machines, machineState{at: time.Now(), list: list})
 }
 
-// enter counts a call and applies the faults that come before its effect.
+// enter counts a call and applies the faults that occur before the call takes effect.
 func (p *Platform) enter(ctx context.Context) error {
 	p.mutex.Lock()
 	p.calls++
@@ -126,7 +125,7 @@
 		case <-timer.C:
 			return object, nil
 		case <-ctx.Done():
-			return objectstore.Object{}, failure.Wrap(failure.PlatformUnavailable, ctx.Err(), "the watch was given up")
+			return objectstore.Object{}, failure.Wrap(failure.PlatformUnavailable, ctx.Err(), "the watch was canceled")
 		}
 	}
 }
@@ -171,7 +170,7 @@
 	return seen, nil
 }
 
-// Handler serves the HTTP form that objectstore.HTTPClient speaks.
+// Handler serves the HTTP API that objectstore.HTTPClient uses.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/", p.serveGet)
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Service is a plain HTTP service. It answers every call with the method, the
-// path and the body it got, and remembers what it ran.
+// Service is a plain HTTP service. It answers every call with the call's method, path and body, and
+// records the calls that it ran.
 type Service struct {
-	// Delay is how long a call takes.
+	// Delay is the processing time of a call.
 	Delay time.Duration
 
 	mutex sync.Mutex
@@ -20,13 +20,13 @@
 
 // Run is one call that a back end ran.
 type Run struct {
-	// RequestID is the system's identifier of the request.
+	// RequestID is the request's ID from the header HeaderRequestID.
 	RequestID string
-	// Body is what the call carried.
+	// Body is the body of the call; Engine leaves it empty.
 	Body string
 }
 
-// HeaderRequestID carries the system's identifier of a request to back ends.
+// HeaderRequestID is the header that carries the request's ID to back ends.
 const HeaderRequestID = "X-Request-Id"
 
 // ServeHTTP implements http.Handler.
@@ -45,7 +45,7 @@
 	_, _ = fmt.Fprintf(w, "%s %s %s\n", r.Method, r.URL.Path, body)
 }
 
-// Runs returns what was run so far.
+// Runs returns the calls that the service has started to run.
 func (s *Service) Runs() []Run {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
