--- a/internal/cli/report.go
+++ b/internal/cli/report.go
@@ -87,7 +87,7 @@
 	}
 	_, _ = fmt.Fprintln(table, "\nPOOL\tPRIORITY\tANSWERED\tFIRST TOKEN P95\tBETWEEN TOKENS P95")
 	for _, p := range report.Percentiles {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%v\t%v\n", p.Pool, priorityName(p.Priority), p.AnsweredInAllTime, p.FirstTokenP95, p.BetweenTokensP95)
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%d\t%v\t%v\n", p.Pool, priorityName(p.Priority), p.TotalAnswered, p.FirstTokenP95, p.BetweenTokensP95)
 	}
 	return table.Flush()
 }
--- a/internal/cli/simulate.go
+++ b/internal/cli/simulate.go
@@ -67,7 +67,7 @@
 		text.WriteString(" " + policy.Name)
 	}
 	text.WriteString("\nMechanisms for --break:")
-	for _, name := range simulation.Breaks() {
+	for _, name := range simulation.Mechanisms() {
 		text.WriteString(" " + string(name))
 	}
 	return text.String()
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	if flags.breaks != "" && !slices.Contains(simulation.Breaks(), simulation.Break(flags.breaks)) {
+	if flags.breaks != "" && !slices.Contains(simulation.Mechanisms(), simulation.Mechanism(flags.breaks)) {
 		return failure.New(failure.InvalidRequest, "--break: unknown; see --help for the list")
 	}
 	var results []simulation.Result
@@ -96,7 +96,7 @@
 			if flags.warmup > 0 {
 				options.Warmup = flags.warmup
 			}
-			options.Break = simulation.Break(flags.breaks)
+			options.Disabled = simulation.Mechanism(flags.breaks)
 			result, err := runOne(options, flags.logPath)
 			if err != nil {
 				return err
--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -133,7 +133,7 @@
 }
 
 // take picks a chat that has no turn under way.
-func (g *generator) take(turn int) (int, chatState) {
+func (g *generator) reserveChat(turn int) (int, chatState) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for offset := range g.chats {
@@ -147,24 +147,24 @@
 }
 
 func (g *generator) turn(ctx context.Context, turn int) {
-	index, chat := g.take(turn)
+	index, chat := g.reserveChat(turn)
 	if index < 0 {
 		return
 	}
-	text := fmt.Sprintf("chat %d turn %d", index, turn)
-	messages := append(chat.messages, message{Role: "user", Content: text})
+	prompt := fmt.Sprintf("chat %d turn %d", index, turn)
+	messages := append(chat.messages, message{Role: "user", Content: prompt})
 	stream := g.config.StreamEvery > 0 && turn%g.config.StreamEvery == 0
-	seen := g.ask(ctx, g.config.Targets[turn%len(g.config.Targets)], chat.token, messages, stream)
-	g.note(index, chat, messages, text, seen)
+	got := g.sendTurn(ctx, g.config.Targets[turn%len(g.config.Targets)], chat.token, messages, stream)
+	g.recordTurn(index, chat, messages, prompt, got)
 }
 
 // seen is what came back for one turn.
-type seen struct {
+type answer struct {
 	err       error
 	status    int
 	header    http.Header
-	words     string
-	whole     bool
+	text      string
+	complete  bool
 	cached    int
 	firstByte time.Duration
 }
@@ -177,26 +177,26 @@
 	Messages  []message `json:"messages"`
 }
 
-func (g *generator) ask(ctx context.Context, target, token string, messages []message, stream bool) seen {
+func (g *generator) sendTurn(ctx context.Context, target, token string, messages []message, stream bool) answer {
 	body, err := json.Marshal(chatBody{Model: g.config.Model, Stream: stream, MaxTokens: g.config.MaxTokens, Messages: messages})
 	if err != nil {
-		return seen{err: err}
+		return answer{err: err}
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target+"/v1/chat/completions", strings.NewReader(string(body)))
 	if err != nil {
-		return seen{err: err}
+		return answer{err: err}
 	}
 	request.Header.Set("Authorization", "Bearer "+g.config.Key)
 	if token != "" {
 		request.Header.Set(routerhttp.HeaderChatToken, token)
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	response, err := g.client.Do(request)
 	if err != nil {
-		return seen{err: err}
+		return answer{err: err}
 	}
 	defer response.Body.Close()
-	got := seen{status: response.StatusCode, header: response.Header, firstByte: time.Since(begun)}
+	got := answer{status: response.StatusCode, header: response.Header, firstByte: time.Since(startedAt)}
 	if response.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, response.Body)
 		return got
@@ -204,13 +204,13 @@
 	if stream {
 		got.readStream(response.Body)
 	} else {
-		got.readWhole(response.Body)
+		got.readBody(response.Body)
 	}
 	return got
 }
 
 // piece is an answer, or one event of a stream.
-type piece struct {
+type completion struct {
 	Choices []struct {
 		Message *message `json:"message"`
 		Delta   *message `json:"delta"`
@@ -222,28 +222,28 @@
 	} `json:"usage"`
 }
 
-func (s *seen) take(part piece) {
+func (a *answer) add(part completion) {
 	for _, choice := range part.Choices {
 		if choice.Message != nil {
-			s.words += choice.Message.Content
+			a.text += choice.Message.Content
 		}
 		if choice.Delta != nil {
-			s.words += choice.Delta.Content
+			a.text += choice.Delta.Content
 		}
 	}
 	if part.Usage != nil {
-		s.cached = part.Usage.PromptTokensDetails.CachedTokens
+		a.cached = part.Usage.PromptTokensDetails.CachedTokens
 	}
 }
 
-func (s *seen) readWhole(body io.Reader) {
-	var part piece
-	s.err = json.NewDecoder(body).Decode(&part)
-	s.whole = s.err == nil
-	s.take(part)
+func (a *answer) readBody(body io.Reader) {
+	var part completion
+	a.err = json.NewDecoder(body).Decode(&part)
+	a.complete = a.err == nil
+	a.add(part)
 }
 
-func (s *seen) readStream(body io.Reader) {
+func (a *answer) readStream(body io.Reader) {
 	scanner := bufio.NewScanner(body)
 	for scanner.Scan() {
 		raw, isData := strings.CutPrefix(scanner.Text(), "data: ")
@@ -251,43 +251,43 @@
 			continue
 		}
 		if raw == "[DONE]" {
-			s.whole = true
+			a.complete = true
 			break
 		}
-		var part piece
+		var part completion
 		if json.Unmarshal([]byte(raw), &part) == nil {
-			s.take(part)
+			a.add(part)
 		}
 	}
-	s.err = scanner.Err()
+	a.err = scanner.Err()
 }
 
 // note judges the turn and puts the chat back.
-func (g *generator) note(index int, chat chatState, messages []message, text string, got seen) {
+func (g *generator) recordTurn(index int, chat chatState, messages []message, prompt string, got answer) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.chats[index].busy = false
 	if chat.token != "" {
 		g.result.Returning++
 	}
-	own := strings.HasPrefix(got.words, "You said: "+text)
+	own := strings.HasPrefix(got.text, "You said: "+prompt)
 	switch {
-	case got.status == http.StatusOK && got.whole && own:
+	case got.status == http.StatusOK && got.complete && own:
 		g.result.Whole++
 		_ = g.result.FirstByte.RecordValue(got.firstByte.Microseconds())
 		if chat.token != "" && got.cached > 0 {
 			g.result.Reused++
 		}
 		g.chats[index].token = got.header.Get(routerhttp.HeaderChatToken)
-		g.chats[index].messages = append(messages, message{Role: "assistant", Content: got.words})
-	case got.status == http.StatusOK && !got.whole:
+		g.chats[index].messages = append(messages, message{Role: "assistant", Content: got.text})
+	case got.status == http.StatusOK && !got.complete:
 		g.result.Broken++
 	case got.status != 0 && got.status != http.StatusOK && got.header.Get(failure.HeaderRan) != "":
 		g.result.Failed[got.header.Get(failure.HeaderKind)+" ran="+got.header.Get(failure.HeaderRan)]++
 	default:
 		g.result.Unclear++
 		if len(g.result.Examples) < maxExamples {
-			g.result.Examples = append(g.result.Examples, fmt.Sprintf("%q got %d %q %v", text, got.status, got.words, got.err))
+			g.result.Examples = append(g.result.Examples, fmt.Sprintf("%q got %d %q %v", prompt, got.status, got.text, got.err))
 		}
 	}
 }
--- a/internal/router/routerhttp/route.go
+++ b/internal/router/routerhttp/route.go
@@ -132,7 +132,7 @@
 // passOn copies the back end's answer to the caller. If the answer turns out to be
 // incomplete, the connection is aborted so that the caller notices; before that, a
 // stream gets an event that says so.
-func (s *Server) passOn(w http.ResponseWriter, r *http.Request, p *callerRequest, exchange *router.Exchange, target *router.Send, response *http.Response, reply hop.Reply, watch *slo.Watch) {
+func (s *Server) passOn(w http.ResponseWriter, r *http.Request, p *callerRequest, exchange *router.Exchange, target *router.Send, response *http.Response, reply hop.Reply, watch *slo.Tracker) {
 	defer response.Body.Close()
 	token := ""
 	s.mutex.Lock()
@@ -150,11 +150,11 @@
 	}
 	w.WriteHeader(response.StatusCode)
 	copier := hop.NewCopier(r.URL.Path, response.Header)
-	copier.Observe = func([]byte) { watch.Piece(time.Now()) }
+	copier.Observe = func([]byte) { watch.Chunk(time.Now()) }
 	if err := copier.Copy(w, response.Body); err != nil {
 		s.abortAnswer(w, r, p, target, copier.Stream, err, watch)
 	}
-	watch.Whole()
+	watch.Complete()
 }
 
 // copyOwnHeaders copies those of an agent's own headers that callers get.
@@ -168,7 +168,7 @@
 
 // abortAnswer aborts the connection to the caller because the answer can't be
 // completed. It panics with http.ErrAbortHandler and never returns.
-func (s *Server) abortAnswer(w http.ResponseWriter, r *http.Request, p *callerRequest, target *router.Send, stream bool, cause error, watch *slo.Watch) {
+func (s *Server) abortAnswer(w http.ResponseWriter, r *http.Request, p *callerRequest, target *router.Send, stream bool, cause error, watch *slo.Tracker) {
 	if r.Context().Err() != nil {
 		watch.Failed(failure.CallerGone)
 		panic(http.ErrAbortHandler)
--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -29,12 +29,12 @@
 	capacity int
 	running  int
 	// runs counts the runs of each request, keyed those of each key.
-	runs  map[string]int
-	keyed map[string]int
+	runsByRequest map[string]int
+	runsByKey     map[string]int
 }
 
 func newBackEnd(id string, pool *bundle.Pool, capacity int) *backEnd {
-	b := &backEnd{id: id, pool: pool.Name, kind: pool.Kind, capacity: capacity, runs: map[string]int{}, keyed: map[string]int{}}
+	b := &backEnd{id: id, pool: pool.Name, kind: pool.Kind, capacity: capacity, runsByRequest: map[string]int{}, runsByKey: map[string]int{}}
 	b.clearCache()
 	return b
 }
@@ -48,7 +48,7 @@
 }
 
 // holds returns how many tokens of the chat's context are cached.
-func (b *backEnd) holds(chat int) int {
+func (b *backEnd) cachedTokens(chat int) int {
 	tokens, _ := b.cache.Get(chat)
 	return tokens
 }
@@ -64,34 +64,34 @@
 }
 
 // service is how long a run takes, and when its first token comes.
-type service struct {
+type runTiming struct {
 	firstToken time.Duration
-	whole      time.Duration
+	total      time.Duration
 	cached     int
 }
 
 // begin runs a request.
-func (b *backEnd) begin(s *Simulation, r *request) service {
+func (b *backEnd) startRun(s *Simulation, r *request) runTiming {
 	b.running++
-	b.runs[r.id]++
+	b.runsByRequest[r.id]++
 	if r.key != "" {
-		b.keyed[r.key]++
+		b.runsByKey[r.key]++
 	}
 	if b.kind == bundle.PoolService {
 		took := s.loop.exponential(serviceMean)
-		return service{firstToken: took, whole: took}
+		return runTiming{firstToken: took, total: took}
 	}
-	cached := min(b.holds(r.chat.index), r.prompt)
-	prefill := time.Duration(r.prompt-cached) * prefillPerToken
-	slower := 1 + batchSlowdown*float64(b.running)/float64(s.options.Size.maxRunning)
-	decode := time.Duration(float64(r.output) * slower * float64(decodePerToken))
-	return service{firstToken: prefill + decodePerToken, whole: prefill + decode, cached: cached}
+	cached := min(b.cachedTokens(r.chat.index), r.promptTokens)
+	prefill := time.Duration(r.promptTokens-cached) * prefillPerToken
+	slowdown := 1 + batchSlowdown*float64(b.running)/float64(s.options.Size.maxRunning)
+	decode := time.Duration(float64(r.outputTokens) * slowdown * float64(decodePerToken))
+	return runTiming{firstToken: prefill + decodePerToken, total: prefill + decode, cached: cached}
 }
 
 // end ends a run; whole says that it came to its end.
-func (b *backEnd) end(r *request, whole bool) {
+func (b *backEnd) endRun(r *request, completed bool) {
 	b.running--
-	if whole && r.chat != nil {
-		b.store(r.chat.index, r.prompt+r.output)
+	if completed && r.chat != nil {
+		b.store(r.chat.index, r.promptTokens+r.outputTokens)
 	}
 }
--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -25,7 +25,7 @@
 	keyedShare = 0.6
 	// impatientShare is how many keyed calls are sent again, through whichever
 	// router, before the first attempt is answered.
-	impatientShare = 0.2
+	earlyRepeatShare = 0.2
 	// maxRepeats is how often a caller repeats a keyed call.
 	maxRepeats = 4
 	// balancerLag is how late the balancer notices that a router isn't ready.
@@ -34,42 +34,42 @@
 
 // chat is one returning chat.
 type chat struct {
-	index   int
-	key     string
-	model   int
-	tenant  int
-	context int
-	turns   int
-	token   *routing.ChatToken
-	busy    bool
+	index         int
+	key           string
+	model         int
+	tenant        int
+	contextTokens int
+	turns         int
+	token         *routing.ChatToken
+	busy          bool
 }
 
 // caller is one piece of work: a chat's turn or a plain call, with its repeats.
-type caller struct {
-	s        *Simulation
-	name     string
-	chat     *chat
-	tenant   string
-	pool     string
-	key      string
-	issued   time.Time
-	repeats  int
-	prompt   int
-	output   int
-	priority admission.Priority
+type call struct {
+	s            *Simulation
+	name         string
+	chat         *chat
+	tenant       string
+	pool         string
+	key          string
+	keyIssued    time.Time
+	repeats      int
+	promptTokens int
+	outputTokens int
+	priority     admission.Priority
 }
 
 // callers make the traffic.
 type callers struct {
-	s       *Simulation
-	chats   []*chat
-	weights []float64
-	works   int
+	s         *Simulation
+	chats     []*chat
+	weights   []float64
+	callCount int
 	// surge multiplies the rate; surgeTenant, if not negative, is the only
 	// tenant whose rate is multiplied.
-	surge       float64
-	surgeTenant int
-	ready       []*node
+	surge        float64
+	surgeTenant  int
+	readyRouters []*node
 }
 
 func newCallers(s *Simulation) *callers {
@@ -79,12 +79,12 @@
 		total += 1 / float64(i+1) // a heavy tail: Zipf's law
 		c.weights = append(c.weights, total)
 	}
-	const serviceGuess = 6 * time.Second
-	count := int(s.options.Size.ChatRate * (s.options.Size.Pause + serviceGuess).Seconds())
+	const expectedTurnTime = 6 * time.Second
+	count := int(s.options.Size.ChatRate * (s.options.Size.Pause + expectedTurnTime).Seconds())
 	for i := range count {
 		c.chats = append(c.chats, &chat{
 			index: i, key: fmt.Sprintf("chat-%d", i), model: i % max(1, s.options.Size.Models), tenant: c.drawTenant(),
-			context: int(c.logNormal(1200, 0.9)),
+			contextTokens: int(c.logNormal(1200, 0.9)),
 		})
 	}
 	return c
@@ -104,9 +104,9 @@
 
 // start begins the traffic.
 func (c *callers) start() {
-	c.s.loop.every(0, balancerLag, c.lookAtRouters)
+	c.s.loop.every(0, balancerLag, c.checkRouters)
 	for _, ch := range c.chats {
-		c.s.loop.after(c.s.loop.between(0, c.s.options.Size.Pause), func() { c.turn(ch) })
+		c.s.loop.after(c.s.loop.between(0, c.s.options.Size.Pause), func() { c.startTurn(ch) })
 	}
 	if c.s.options.Size.ServiceRate > 0 {
 		c.nextService()
@@ -114,20 +114,20 @@
 }
 
 // lookAtRouters is the balancer's health check.
-func (c *callers) lookAtRouters() {
-	c.ready = c.ready[:0]
+func (c *callers) checkRouters() {
+	c.readyRouters = c.readyRouters[:0]
 	for _, id := range c.s.ids {
 		n := c.s.nodes[id]
 		if n.isRouter() && n.process.up && !n.process.frozen && n.router.Ready(n.clock()) {
-			c.ready = append(c.ready, n)
+			c.readyRouters = append(c.readyRouters, n)
 		}
 	}
 }
 
 // pickRouter returns a router as the balancer would, or nil.
 func (c *callers) pickRouter() *node {
-	for range len(c.ready) {
-		n := c.ready[c.s.loop.random.IntN(len(c.ready))]
+	for range len(c.readyRouters) {
+		n := c.readyRouters[c.s.loop.random.IntN(len(c.readyRouters))]
 		if n.process.up {
 			return n // a refused connection is tried elsewhere at once
 		}
@@ -148,112 +148,112 @@
 }
 
 // turn sends a chat's next turn.
-func (c *callers) turn(ch *chat) {
+func (c *callers) startTurn(ch *chat) {
 	if ch.busy {
 		return
 	}
 	ch.busy = true
-	if ch.context > maxContext {
-		ch.context, ch.turns, ch.token = int(c.logNormal(1200, 0.9)), 0, nil
+	if ch.contextTokens > maxContext {
+		ch.contextTokens, ch.turns, ch.token = int(c.logNormal(1200, 0.9)), 0, nil
 		ch.key = fmt.Sprintf("%s+", ch.key)
 	}
 	priority := admission.Interactive
 	if c.s.loop.random.Float64() < batchShare {
 		priority = admission.Batch
 	}
-	work := c.work(tenantName(ch.tenant), poolName(ch.model))
-	work.chat = ch
-	work.priority = priority
-	work.prompt = ch.context + int(c.logNormal(120, 0.8))
-	work.output = max(1, int(c.logNormal(130, 0.6)))
-	work.send()
+	turn := c.newCall(tenantName(ch.tenant), poolName(ch.model))
+	turn.chat = ch
+	turn.priority = priority
+	turn.promptTokens = ch.contextTokens + int(c.logNormal(120, 0.8))
+	turn.outputTokens = max(1, int(c.logNormal(130, 0.6)))
+	turn.send()
 }
 
-func (c *callers) work(tenant, pool string) *caller {
-	c.works++
-	return &caller{s: c.s, name: fmt.Sprintf("w%d", c.works), tenant: tenant, pool: pool}
+func (c *callers) newCall(tenant, pool string) *call {
+	c.callCount++
+	return &call{s: c.s, name: fmt.Sprintf("w%d", c.callCount), tenant: tenant, pool: pool}
 }
 
 // nextService sends plain calls at random moments.
 func (c *callers) nextService() {
 	mean := time.Duration(float64(time.Second) / c.s.options.Size.ServiceRate)
 	c.s.loop.after(c.s.loop.exponential(mean), func() {
-		work := c.work(tenantName(c.drawTenant()), servicePool)
+		serviceCall := c.newCall(tenantName(c.drawTenant()), servicePool)
 		if c.s.loop.random.Float64() < keyedShare {
-			work.key = "key-" + work.name
+			serviceCall.key = "key-" + serviceCall.name
 			// The caller's own clock is off too.
-			work.issued = c.s.loop.now.Add(c.s.loop.between(-c.s.options.ClockError/2, c.s.options.ClockError/2))
+			serviceCall.keyIssued = c.s.loop.now.Add(c.s.loop.between(-c.s.options.ClockError/2, c.s.options.ClockError/2))
 		}
-		work.send()
-		if work.key != "" && c.s.loop.random.Float64() < impatientShare {
-			c.s.loop.after(c.s.loop.exponential(500*time.Millisecond), work.repeat)
+		serviceCall.send()
+		if serviceCall.key != "" && c.s.loop.random.Float64() < earlyRepeatShare {
+			c.s.loop.after(c.s.loop.exponential(500*time.Millisecond), serviceCall.repeat)
 		}
 		c.nextService()
 	})
 }
 
 // send makes one attempt of the work.
-func (w *caller) send() {
+func (c *call) send() {
 	r := &request{
-		id: fmt.Sprintf("%s/%d", w.name, w.repeats), caller: w, tenant: w.tenant, pool: w.pool, chat: w.chat,
-		prompt: w.prompt, output: w.output, priority: w.priority, key: w.key, issued: w.issued,
-		begun: w.s.loop.now, timeout: chatTimeout,
+		id: fmt.Sprintf("%s/%d", c.name, c.repeats), call: c, tenant: c.tenant, pool: c.pool, chat: c.chat,
+		promptTokens: c.promptTokens, outputTokens: c.outputTokens, priority: c.priority, key: c.key, keyIssued: c.keyIssued,
+		startedAt: c.s.loop.now, timeout: chatTimeout,
 	}
-	if w.chat == nil {
+	if c.chat == nil {
 		r.timeout = serviceTimeout
 	}
-	w.s.measure.begun(r)
-	router := w.s.callers.pickRouter()
+	c.s.measure.requestStarted(r)
+	router := c.s.callers.pickRouter()
 	if router == nil {
 		r.done = true
-		w.s.loop.after(latencyCallers, func() { w.answered(r, outcome{kind: failure.NotReady, wait: time.Second}) })
+		c.s.loop.after(callerLatency, func() { c.requestAnswered(r, outcome{kind: failure.NotReady, wait: time.Second}) })
 		return
 	}
 	generation := router.process.generation
-	w.s.loop.after(latencyCallers, func() {
+	c.s.loop.after(callerLatency, func() {
 		if !router.process.up || router.process.generation != generation {
 			r.done = true
-			w.answered(r, outcome{kind: failure.BackendFailed})
+			c.requestAnswered(r, outcome{kind: failure.BackendFailed})
 			return
 		}
-		router.process.deliver(generation, func() { router.begin(r) })
+		router.process.deliver(generation, func() { router.beginRequest(r) })
 	})
 }
 
 // answered takes the final word on an attempt.
-func (w *caller) answered(r *request, o outcome) {
-	w.s.checks.told(r, o)
-	w.s.measure.answered(r, o)
-	if w.chat != nil {
-		w.chatAnswered(r, o)
+func (c *call) requestAnswered(r *request, o outcome) {
+	c.s.checks.checkOutcome(r, o)
+	c.s.measure.requestAnswered(r, o)
+	if c.chat != nil {
+		c.chatAnswered(r, o)
 		return
 	}
-	if o.served || w.key == "" || w.repeats >= maxRepeats {
+	if o.served || c.key == "" || c.repeats >= maxRepeats {
 		return
 	}
-	w.s.loop.after(max(o.wait, 500*time.Millisecond)+w.s.loop.exponential(time.Second), w.repeat)
+	c.s.loop.after(max(o.wait, 500*time.Millisecond)+c.s.loop.exponential(time.Second), c.repeat)
 }
 
 // repeat sends the work again under its key.
-func (w *caller) repeat() {
-	w.repeats++
-	w.send()
+func (c *call) repeat() {
+	c.repeats++
+	c.send()
 }
 
 // chatAnswered plans a chat's next turn. A refused turn comes back when told.
-func (w *caller) chatAnswered(r *request, o outcome) {
-	ch := w.chat
+func (c *call) chatAnswered(r *request, o outcome) {
+	ch := c.chat
 	ch.busy = false
-	wait := w.s.callers.pause(ch)
+	wait := c.s.callers.pause(ch)
 	switch {
 	case o.served:
 		ch.turns++
-		ch.context = r.prompt + r.output
+		ch.contextTokens = r.promptTokens + r.outputTokens
 		ch.token = o.token
 	case o.wait > 0:
-		wait = o.wait + w.s.loop.exponential(o.wait)
+		wait = o.wait + c.s.loop.exponential(o.wait)
 	}
-	w.s.loop.after(wait, func() { w.s.callers.turn(ch) })
+	c.s.loop.after(wait, func() { c.s.callers.startTurn(ch) })
 }
 
 // sortedRequests returns requests in a fixed order.
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -11,27 +11,27 @@
 
 // The promises, as they are named in reports.
 const (
-	PromiseBound   = "load bound"
-	PromiseOwn     = "whole and own answers"
-	PromiseNotRun  = "not run is true"
-	PromiseOnce    = "at most once"
-	PromiseLeaving = "leaving"
-	PromiseStop    = "planned stop"
-	PromiseBundle  = "bundle"
-	PromiseAtOnce  = "given up at once"
-	PromiseStorm   = "no retry storm"
+	PromiseBound         = "load bound"
+	PromiseOwnAnswers    = "whole and own answers"
+	PromiseNotRun        = "not run is true"
+	PromiseOnce          = "at most once"
+	PromiseLeaving       = "leaving"
+	PromiseStop          = "planned stop"
+	PromiseBundle        = "bundle"
+	PromisePromptRefusal = "given up at once"
+	PromiseNoRetryStorm  = "no retry storm"
 )
 
 const (
 	// leavingWithin is how long after leaving is known anywhere an agent may
 	// still begin to take work.
-	leavingWithin = 5 * time.Second
+	leavingGrace = 5 * time.Second
 	// inForceWithin is how long a published bundle may take to be in force.
-	inForceWithin = 17 * time.Second
+	inForceDeadline = 17 * time.Second
 	// heldAfter is the time in the system after which a request that ran
 	// nowhere and was never queued counts as held back: the longest wait at an
 	// owner, the longest wait for affinity and the attempts between them.
-	heldAfter = 10 * time.Second
+	maxHeldTime = 10 * time.Second
 )
 
 // Violation is a broken promise.
@@ -51,20 +51,20 @@
 	counts     map[string]int
 	// boundStrict counts admissions above the bound by the mean of the same
 	// moment; admissions counts all.
-	boundStrict int
-	admissions  int
+	overBoundStrict int
+	admissions      int
 	// disturbed is when a node last was hit by a fault.
-	disturbed map[string]time.Time
+	lastDisturbed map[string]time.Time
 	// unsettled is when a node's own state last changed: a fault of its own,
 	// not a cut between parts of the fleet.
-	unsettled map[string]time.Time
-	leaving   map[string]time.Time
-	planned   bool
-	toldNo    map[string]bool
+	lastStateChange map[string]time.Time
+	leavingSince    map[string]time.Time
+	inPlannedStop   bool
+	reportedNotRun  map[string]bool
 }
 
 func newChecks(s *Simulation) *checks {
-	return &checks{s: s, counts: map[string]int{}, disturbed: map[string]time.Time{}, unsettled: map[string]time.Time{}, leaving: map[string]time.Time{}, toldNo: map[string]bool{}}
+	return &checks{s: s, counts: map[string]int{}, lastDisturbed: map[string]time.Time{}, lastStateChange: map[string]time.Time{}, leavingSince: map[string]time.Time{}, reportedNotRun: map[string]bool{}}
 }
 
 // maxViolations is how many violations are kept in full.
@@ -87,13 +87,13 @@
 // included, against the highest mean within the window; or, while the network
 // is cut and until the sides have heard of each other again, against the mean of
 // the members on the agent's side.
-func (c *checks) admitted(n *node, load int) {
+func (c *checks) checkAdmission(n *node, load int) {
 	p := c.s.pools[n.backEnd.pool]
 	now := c.s.loop.now
 	c.admissions++
 	mean := p.mean(everyMember).mean
 	if load > p.bound(mean) {
-		c.boundStrict++
+		c.overBoundStrict++
 	}
 	window := boundWindows * p.pool.MeanWindow.Std()
 	highest := p.highest(n, now, window)
@@ -107,18 +107,18 @@
 }
 
 // started checks a run at the moment it begins.
-func (c *checks) started(n *node, a *attempt) {
+func (c *checks) checkRun(n *node, a *attempt) {
 	r := a.request
 	if a.head.BackEnd != n.process.id || n.backEnd.pool != r.pool {
-		c.fail(PromiseOwn, "%s ran %s, which is meant for %s", n.process.id, r.id, a.head.BackEnd)
+		c.fail(PromiseOwnAnswers, "%s ran %s, which is meant for %s", n.process.id, r.id, a.head.BackEnd)
 	}
-	if c.toldNo[r.id] {
+	if c.reportedNotRun[r.id] {
 		c.fail(PromiseNotRun, "%s ran %s after its caller was told that it was not run", n.process.id, r.id)
 	}
 	if r.key != "" {
 		runs := 1
 		for _, member := range c.s.pools[r.pool].members {
-			runs += member.backEnd.keyed[r.key]
+			runs += member.backEnd.runsByKey[r.key]
 		}
 		if runs > 1 {
 			c.fail(PromiseOnce, "%s ran %s: run %d under its key", n.process.id, r.id, runs)
@@ -126,7 +126,7 @@
 	} else if c.runs(r) > 0 {
 		c.fail(PromiseOnce, "%s ran %s again, which its caller sent once", n.process.id, r.id)
 	}
-	if since, known := c.leaving[n.process.id]; known && a.arrivedAt.Sub(since) > leavingWithin {
+	if since, known := c.leavingSince[n.process.id]; known && a.arrivedAt.Sub(since) > leavingGrace {
 		c.fail(PromiseLeaving, "%s took work %v after its leaving was known", n.process.id, a.arrivedAt.Sub(since))
 	}
 }
@@ -135,56 +135,56 @@
 func (c *checks) runs(r *request) int {
 	total := 0
 	for _, member := range c.s.pools[r.pool].members {
-		total += member.backEnd.runs[r.id]
+		total += member.backEnd.runsByRequest[r.id]
 	}
 	return total
 }
 
 // told checks what a caller is told.
-func (c *checks) told(r *request, o outcome) {
+func (c *checks) checkOutcome(r *request, o outcome) {
 	runs := c.runs(r)
 	if o.served {
 		if o.attempt == nil || o.attempt.request != r {
-			c.fail(PromiseOwn, "%s got the answer to another request", r.id)
+			c.fail(PromiseOwnAnswers, "%s got the answer to another request", r.id)
 		}
 		if runs == 0 && r.key == "" {
-			c.fail(PromiseOwn, "%s was answered but never run", r.id)
+			c.fail(PromiseOwnAnswers, "%s was answered but never run", r.id)
 		}
 		return
 	}
 	if o.kind.Answer().Ran != failure.RanNo {
 		return
 	}
-	c.toldNo[r.id] = true
+	c.reportedNotRun[r.id] = true
 	if runs > 0 {
 		c.fail(PromiseNotRun, "%s was told %v but ran", r.id, o.kind)
 	}
 }
 
 // gaveUp checks that a final refusal comes at once and with a time to come back.
-func (c *checks) gaveUp(n *node, r *request, answer *failure.Error) {
+func (c *checks) checkGivenUp(n *node, r *request, answer *failure.Error) {
 	row := answer.Kind.Answer()
 	if row.Retry && answer.RetryDelay() <= 0 {
-		c.fail(PromiseAtOnce, "%s was given up as %v without a time to come back", r.id, answer.Kind)
+		c.fail(PromisePromptRefusal, "%s was given up as %v without a time to come back", r.id, answer.Kind)
 	}
 	wasQueued := answer.Kind == failure.DeadlineUnmeetable || answer.Kind == failure.QueueFull
-	held := c.s.loop.now.Sub(r.begun)
+	held := c.s.loop.now.Sub(r.startedAt)
 	// A request that is at a paused process waits until that wakes.
-	if row.Ran == failure.RanNo && !wasQueued && held > heldAfter && !r.paused && !c.wasDisturbed(n, held) {
-		c.fail(PromiseAtOnce, "%s was answered %v after %v", r.id, answer.Kind, held)
+	if row.Ran == failure.RanNo && !wasQueued && held > maxHeldTime && !r.paused && !c.wasDisturbed(n, held) {
+		c.fail(PromisePromptRefusal, "%s was answered %v after %v", r.id, answer.Kind, held)
 	}
 }
 
 // cut checks that a request in flight isn't cut by a planned stop.
-func (c *checks) cut(n *node, r *request) {
-	if c.planned {
-		c.fail(PromiseStop, "the planned stop of %s cut %s", n.process.id, r.id)
+func (c *checks) checkNotCut(stopping *node, r *request) {
+	if c.inPlannedStop {
+		c.fail(PromiseStop, "the planned stop of %s cut %s", stopping.process.id, r.id)
 	}
 }
 
 // adopted checks that a node never goes back, not even across a restart. A
 // restarted node may look at an older bundle before it is ready; see ready.
-func (c *checks) adopted(n *node, number uint64) {
+func (c *checks) checkAdopted(n *node, number uint64) {
 	c.s.loop.log("%s adopts %d", n.process.id, number)
 	if _, known := n.adoptedAt[number]; !known {
 		n.adoptedAt[number] = c.s.loop.now
@@ -203,7 +203,7 @@
 }
 
 // lookAtNodes checks every node's bundle now and then.
-func (c *checks) lookAtNodes() {
+func (c *checks) checkNodes() {
 	for _, id := range c.s.ids {
 		n := c.s.nodes[id]
 		if !n.ready() || n.process.frozen {
@@ -220,37 +220,37 @@
 // published plans the check that a bundle is in force everywhere in time. The
 // clock starts when the first node has it, since no node can read it while the
 // platform is away.
-func (c *checks) published(b *bundle.Bundle) {
+func (c *checks) awaitPublished(b *bundle.Bundle) {
 	c.s.lastPublished = max(c.s.lastPublished, b.Number)
-	c.awaitFirst(b.Number)
+	c.awaitFirstNode(b.Number)
 }
 
-func (c *checks) awaitFirst(number uint64) {
+func (c *checks) awaitFirstNode(number uint64) {
 	for _, id := range c.s.ids {
 		if n := c.s.nodes[id]; n.process.up && n.plane().Bundle() != nil && n.plane().Bundle().Number >= number {
 			since := c.s.loop.now
-			c.s.loop.after(inForceWithin, func() { c.inForce(number, since) })
+			c.s.loop.after(inForceDeadline, func() { c.checkInForce(number, since) })
 			return
 		}
 	}
-	c.s.loop.after(100*time.Millisecond, func() { c.awaitFirst(number) })
+	c.s.loop.after(100*time.Millisecond, func() { c.awaitFirstNode(number) })
 }
 
-func (c *checks) inForce(number uint64, since time.Time) {
+func (c *checks) checkInForce(number uint64, since time.Time) {
 	for _, id := range c.s.ids {
 		n := c.s.nodes[id]
 		if !n.process.up || n.process.frozen || c.wasDisturbed(n, c.s.loop.now.Sub(since)+time.Second) {
 			continue
 		}
 		if current := n.plane().Bundle(); current == nil || current.Number < number {
-			c.fail(PromiseBundle, "%s has not %d in force %v after the first node had", id, number, inForceWithin)
+			c.fail(PromiseBundle, "%s has not %d in force %v after the first node had", id, number, inForceDeadline)
 		}
 	}
 }
 
 // raced checks that of two racing operators exactly one wins and the other gets
 // a clear conflict.
-func (c *checks) raced(first, second error) {
+func (c *checks) checkRace(first, second error) {
 	if first == nil && second == nil {
 		c.fail(PromiseBundle, "both racing operators were told that they won")
 	}
@@ -263,35 +263,35 @@
 }
 
 // disturb notes that a fault hits or leaves a node.
-func (c *checks) disturb(n *node) {
-	c.disturbed[n.process.id] = c.s.loop.now
-	c.unsettled[n.process.id] = c.s.loop.now
+func (c *checks) markDisturbed(n *node) {
+	c.lastDisturbed[n.process.id] = c.s.loop.now
+	c.lastStateChange[n.process.id] = c.s.loop.now
 }
 
 // wasDisturbed tells whether a node was hit, or is still cut off, within the
 // span.
 func (c *checks) wasDisturbed(n *node, within time.Duration) bool {
-	at, hit := c.disturbed[n.process.id]
+	at, hit := c.lastDisturbed[n.process.id]
 	return len(c.s.network.cuts) > 0 || hit && c.s.loop.now.Sub(at) <= within
 }
 
 // leavingSince notes that a node's leaving is known to itself.
-func (c *checks) leavingSince(n *node) {
-	if _, known := c.leaving[n.process.id]; !known {
-		c.leaving[n.process.id] = c.s.loop.now
+func (c *checks) markLeaving(n *node) {
+	if _, known := c.leavingSince[n.process.id]; !known {
+		c.leavingSince[n.process.id] = c.s.loop.now
 	}
 }
 
 // leavingKnown notes the leaving machines that a node has just read of.
-func (c *checks) leavingKnown(list []coordination.Machine) {
+func (c *checks) markLeavingMachines(list []coordination.Machine) {
 	for _, machine := range list {
 		if machine.Leaving {
-			c.leavingSince(c.s.nodes[machine.ID])
+			c.markLeaving(c.s.nodes[machine.ID])
 		}
 	}
 }
 
-func (c *checks) restarted(n *node) { delete(c.leaving, n.process.id) }
+func (c *checks) restarted(n *node) { delete(c.leavingSince, n.process.id) }
 
 // finish checks the attempts of the whole run: one for each request, the ratio of
 // the retry budget, and what the budgets had saved up.
@@ -299,6 +299,6 @@
 	m := c.s.measure
 	allowed := float64(m.requests)*1.5 + 50*float64(c.s.options.Size.Routers+m.routerStarts)
 	if float64(m.attempts) > allowed {
-		c.fail(PromiseStorm, "%d attempts for %d requests, over the budget %.0f", m.attempts, m.requests, allowed)
+		c.fail(PromiseNoRetryStorm, "%d attempts for %d requests, over the budget %.0f", m.attempts, m.requests, allowed)
 	}
 }
--- a/internal/simulation/exchange.go
+++ b/internal/simulation/exchange.go
@@ -12,19 +12,19 @@
 
 // request is one attempt of a caller: one HTTP request to one router.
 type request struct {
-	id       string
-	caller   *caller
-	tenant   string
-	pool     string
-	chat     *chat
-	prompt   int
-	output   int
-	priority admission.Priority
+	id           string
+	call         *call
+	tenant       string
+	pool         string
+	chat         *chat
+	promptTokens int
+	outputTokens int
+	priority     admission.Priority
 	// key is the idempotency key and issued its time by the caller's clock.
-	key     string
-	issued  time.Time
-	begun   time.Time
-	timeout time.Duration
+	key       string
+	keyIssued time.Time
+	startedAt time.Time
+	timeout   time.Duration
 
 	router   *node
 	exchange *router.Exchange
@@ -36,39 +36,39 @@
 
 // attempt is one request from a router to an agent.
 type attempt struct {
-	request   *request
-	router    *node
-	routerGen int
-	agent     *node
-	agentGen  int
-	head      hop.Head
-	id        admission.RequestID
-	arrived   bool
-	arrivedAt time.Time
-	started   bool
+	request          *request
+	router           *node
+	routerGeneration int
+	agent            *node
+	agentGeneration  int
+	head             hop.Head
+	id               admission.RequestID
+	arrived          bool
+	arrivedAt        time.Time
+	started          bool
 	// answering is set once the answer has begun, ended once the run is over.
 	answering bool
 	ended     bool
 	// abandoned is set once the router no longer waits.
 	abandoned bool
-	service   service
+	timing    runTiming
 }
 
 // begin takes a caller's request at a router.
-func (n *node) begin(r *request) {
+func (n *node) beginRequest(r *request) {
 	n.exchanges[r] = true
 	r.router = n
 	deadline := n.clock().Add(r.timeout)
 	exchange, decision := n.router.Begin(n.clock(), router.Request{
 		ID: r.id, Tenant: r.tenant, Pool: r.pool, Priority: r.priority, Deadline: deadline,
-		ChatKey: r.chatKey(), Token: r.token(), Key: r.key, KeyIssued: r.issued, KeyDigest: 1,
+		ChatKey: r.chatKey(), Token: r.token(), Key: r.key, KeyIssued: r.keyIssued, KeyDigest: 1,
 	})
 	r.exchange = exchange
 	generation := n.process.generation
 	n.s.loop.after(r.timeout, func() {
 		n.process.deliver(generation, func() { n.deadlinePassed(r) })
 	})
-	n.follow(r, decision)
+	n.applyDecision(r, decision)
 }
 
 func (r *request) chatKey() string {
@@ -93,14 +93,14 @@
 	}
 	a.abandoned = true
 	n.s.disconnect(a)
-	n.follow(r, n.router.ConnectionLost(n.clock(), r.exchange))
+	n.applyDecision(r, n.router.ConnectionLost(n.clock(), r.exchange))
 }
 
 // follow carries out a router's decision.
-func (n *node) follow(r *request, decision router.Decision) {
+func (n *node) applyDecision(r *request, decision router.Decision) {
 	if decision.GiveUp != nil {
-		n.s.measure.gaveUp(n, r, decision.GiveUp.Kind)
-		n.s.checks.gaveUp(n, r, decision.GiveUp)
+		n.s.measure.requestGivenUp(n, r, decision.GiveUp.Kind)
+		n.s.checks.checkGivenUp(n, r, decision.GiveUp)
 		n.answer(r, outcome{kind: decision.GiveUp.Kind, wait: decision.GiveUp.RetryDelay()})
 		return
 	}
@@ -110,23 +110,23 @@
 // dispatch sends one attempt on its way.
 func (n *node) dispatch(r *request, send *router.Send) {
 	target := n.s.nodes[send.BackEnd]
-	a := &attempt{request: r, router: n, routerGen: n.process.generation, agent: target, agentGen: target.process.generation, head: send.Head}
+	a := &attempt{request: r, router: n, routerGeneration: n.process.generation, agent: target, agentGeneration: target.process.generation, head: send.Head}
 	r.current = a
-	n.s.measure.attempt(send.Head)
-	there := n.s.network.latency(&n.process, &target.process)
+	n.s.measure.attemptSent(send.Head)
+	oneWay := n.s.network.latency(&n.process, &target.process)
 	switch {
 	case n.s.network.blocked(&n.process, &target.process) || n.s.network.blocked(&target.process, &n.process):
-		n.intoCut(a)
+		n.dispatchIntoCut(a)
 	case !target.process.up && target.machineDown:
-		n.later(a, dialTimeout, n.notSent)
+		n.afterDelay(a, dialTimeout, n.notSent)
 	case !target.process.up:
-		n.later(a, 2*there, n.notSent)
+		n.afterDelay(a, 2*oneWay, n.notSent)
 	default:
-		n.s.loop.after(there, func() {
+		n.s.loop.after(oneWay, func() {
 			r.paused = r.paused || target.process.frozen
-			target.process.deliver(a.agentGen, func() { target.arrive(a) })
-			if !target.process.up || target.process.generation != a.agentGen {
-				n.later(a, there, n.lost) // it died while the request was on its way
+			target.process.deliver(a.agentGeneration, func() { target.attemptArrived(a) })
+			if !target.process.up || target.process.generation != a.agentGeneration {
+				n.afterDelay(a, oneWay, n.connectionLost) // it died while the request was on its way
 			}
 		})
 	}
@@ -134,20 +134,20 @@
 
 // intoCut loses an attempt in a cut: a new connection can't be made, while an
 // old one takes the request and is found dead later.
-func (n *node) intoCut(a *attempt) {
+func (n *node) dispatchIntoCut(a *attempt) {
 	if n.s.loop.random.IntN(2) == 0 {
-		n.later(a, dialTimeout, n.notSent)
+		n.afterDelay(a, dialTimeout, n.notSent)
 		return
 	}
-	n.later(a, brokenAfter, n.lost)
+	n.afterDelay(a, keepAliveTimeout, n.connectionLost)
 }
 
 // later lets something happen to an attempt at its router.
-func (n *node) later(a *attempt, wait time.Duration, happen func(*attempt)) {
+func (n *node) afterDelay(a *attempt, wait time.Duration, handle func(*attempt)) {
 	n.s.loop.after(wait, func() {
-		n.process.deliver(a.routerGen, func() {
+		n.process.deliver(a.routerGeneration, func() {
 			if !a.abandoned && !a.request.done {
-				happen(a)
+				handle(a)
 			}
 		})
 	})
@@ -155,17 +155,17 @@
 
 func (n *node) notSent(a *attempt) {
 	a.abandoned = true
-	n.follow(a.request, n.router.NotConnected(n.clock(), a.request.exchange))
+	n.applyDecision(a.request, n.router.NotConnected(n.clock(), a.request.exchange))
 }
 
-func (n *node) lost(a *attempt) {
+func (n *node) connectionLost(a *attempt) {
 	a.abandoned = true
 	n.s.disconnect(a)
-	n.follow(a.request, n.router.ConnectionLost(n.clock(), a.request.exchange))
+	n.applyDecision(a.request, n.router.ConnectionLost(n.clock(), a.request.exchange))
 }
 
 // arrive takes an attempt at its agent.
-func (n *node) arrive(a *attempt) {
+func (n *node) attemptArrived(a *attempt) {
 	n.lastID++
 	a.id = n.lastID
 	a.arrived = true
@@ -180,21 +180,21 @@
 func (n *node) startAttempt(action admission.Start) {
 	a := n.pending[action.ID]
 	a.started = true
-	n.s.checks.started(n, a)
-	a.service = n.backEnd.begin(n.s, a.request)
+	n.s.checks.checkRun(n, a)
+	a.timing = n.backEnd.startRun(n.s, a.request)
 	n.s.loop.log("%s runs %s at load %d", n.process.id, a.request.id, action.Load)
-	n.s.measure.started(a)
+	n.s.measure.runStarted(a)
 	generation := n.process.generation
-	n.s.loop.after(a.service.firstToken, func() {
+	n.s.loop.after(a.timing.firstToken, func() {
 		if !a.ended {
 			n.process.deliver(generation, func() { a.answering = true })
 		}
 	})
-	n.s.loop.after(a.service.whole, func() {
+	n.s.loop.after(a.timing.total, func() {
 		if a.ended || !n.process.up || n.process.generation != generation {
 			return
 		}
-		n.backEnd.end(a.request, true)
+		n.backEnd.endRun(a.request, true)
 		a.ended = true
 		n.process.deliver(generation, func() { n.finishAttempt(a) })
 	})
@@ -210,7 +210,7 @@
 func (n *node) refuseAttempt(action admission.Refuse) {
 	a := n.pending[action.ID]
 	delete(n.pending, action.ID)
-	n.s.measure.refused(action.Kind)
+	n.s.measure.attemptRefused(action.Kind)
 	n.reply(a, n.agent.Reply(n.clock(), &action))
 }
 
@@ -223,9 +223,9 @@
 // reply sends an answer back to the router. A cut holds it up until the
 // connection is found dead.
 func (n *node) reply(a *attempt, reply hop.Reply) {
-	back := n.s.network.latency(&n.process, &a.router.process)
-	deadline := n.s.loop.now.Add(brokenAfter)
-	n.s.loop.after(back, func() { n.replyArrives(a, reply, deadline) })
+	latency := n.s.network.latency(&n.process, &a.router.process)
+	deadline := n.s.loop.now.Add(keepAliveTimeout)
+	n.s.loop.after(latency, func() { n.replyArrives(a, reply, deadline) })
 }
 
 func (n *node) replyArrives(a *attempt, reply hop.Reply, deadline time.Time) {
@@ -234,33 +234,33 @@
 	}
 	if n.s.network.blocked(&n.process, &a.router.process) {
 		if n.s.loop.now.After(deadline) {
-			a.router.process.deliver(a.routerGen, func() {
+			a.router.process.deliver(a.routerGeneration, func() {
 				if !a.abandoned && !a.request.done {
-					a.router.lost(a)
+					a.router.connectionLost(a)
 				}
 			})
 			return
 		}
-		n.s.loop.after(cutProbe, func() { n.replyArrives(a, reply, deadline) })
+		n.s.loop.after(cutRetryPeriod, func() { n.replyArrives(a, reply, deadline) })
 		return
 	}
-	a.router.process.deliver(a.routerGen, func() {
+	a.router.process.deliver(a.routerGeneration, func() {
 		if !a.abandoned && !a.request.done {
-			a.router.replied(a, reply)
+			a.router.replyReceived(a, reply)
 		}
 	})
 }
 
 // replied takes an agent's reply at the router.
-func (n *node) replied(a *attempt, reply hop.Reply) {
+func (n *node) replyReceived(a *attempt, reply hop.Reply) {
 	a.abandoned = true
 	r := a.request
 	if reply.Refused {
-		n.follow(r, n.router.Refused(n.clock(), r.exchange, reply))
+		n.applyDecision(r, n.router.Refused(n.clock(), r.exchange, reply))
 		return
 	}
 	n.router.ApplyPiggyback(n.clock(), reply)
-	o := outcome{served: true, service: a.service, attempt: a}
+	o := outcome{served: true, timing: a.timing, attempt: a}
 	if r.chat != nil {
 		token := n.router.Token(n.clock(), r.exchange, r.chat.key, reply.Incarnation)
 		o.token = &token
@@ -274,7 +274,7 @@
 	kind    failure.Kind
 	wait    time.Duration
 	token   *routing.ChatToken
-	service service
+	timing  runTiming
 	attempt *attempt
 }
 
@@ -297,7 +297,7 @@
 	n.s.loop.log("%s answers %s: %s after %d attempts", n.process.id, r.id, o, r.exchange.Attempts())
 	// The request itself is kept until its deadline; its route is large.
 	r.exchange = nil
-	n.s.loop.after(latencyCallers, func() { r.caller.answered(r, o) })
+	n.s.loop.after(callerLatency, func() { r.call.requestAnswered(r, o) })
 }
 
 // disconnect tells the agent that the router no longer waits: what is not keyed
@@ -305,7 +305,7 @@
 func (s *Simulation) disconnect(a *attempt) {
 	n := a.agent
 	s.loop.after(s.network.latency(&a.router.process, &n.process), func() {
-		n.process.deliver(a.agentGen, func() { n.cancel(a) })
+		n.process.deliver(a.agentGeneration, func() { n.cancel(a) })
 	})
 }
 
@@ -321,47 +321,47 @@
 	if a.request.key != "" {
 		return
 	}
-	n.backEnd.end(a.request, false)
+	n.backEnd.endRun(a.request, false)
 	a.ended = true
 	delete(n.pending, a.id)
 	n.perform(n.agent.Finished(n.clock(), admission.Finished{ID: a.id}))
 }
 
 // loseRouter breaks the requests that a dead router had under way.
-func (s *Simulation) loseRouter(n *node) {
+func (s *Simulation) failRouterRequests(n *node) {
 	for _, r := range sortedRequests(n.exchanges) {
 		r.done = true
 		if a := r.current; a != nil && !a.abandoned {
 			a.abandoned = true
 			s.disconnect(a)
 		}
-		s.checks.cut(n, r)
-		s.loop.after(latencyCallers, func() { r.caller.answered(r, outcome{kind: failure.BackendFailed}) })
+		s.checks.checkNotCut(n, r)
+		s.loop.after(callerLatency, func() { r.call.requestAnswered(r, outcome{kind: failure.BackendFailed}) })
 	}
 	n.exchanges = nil
 }
 
 // loseAgent breaks the requests that a dead agent held.
-func (s *Simulation) loseAgent(n *node, machine bool) {
+func (s *Simulation) failAgentAttempts(n *node, withMachine bool) {
 	for id := admission.RequestID(1); id <= n.lastID; id++ {
 		a := n.pending[id]
 		if a == nil {
 			continue
 		}
 		if a.started && !a.ended {
-			n.backEnd.end(a.request, false)
+			n.backEnd.endRun(a.request, false)
 			a.ended = true
 		}
 		wait := s.network.latency(&n.process, &a.router.process)
-		if machine {
-			wait = brokenAfter
+		if withMachine {
+			wait = keepAliveTimeout
 		}
-		s.checks.cut(n, a.request)
-		a.router.later(a, wait, a.router.lost)
+		s.checks.checkNotCut(n, a.request)
+		a.router.afterDelay(a, wait, a.router.connectionLost)
 	}
 	n.pending = nil
 	n.lastID = 0
-	if machine {
+	if withMachine {
 		n.backEnd.clearCache()
 	}
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -83,12 +83,12 @@
 // schedule plans the faults.
 func (s *Simulation) schedule(faults []Fault) {
 	for _, fault := range faults {
-		s.loop.after(fault.At, func() { s.strike(fault) })
+		s.loop.after(fault.At, func() { s.injectFault(fault) })
 	}
 }
 
 // strike lets a fault happen.
-func (s *Simulation) strike(fault Fault) {
+func (s *Simulation) injectFault(fault Fault) {
 	target := s.nodes[s.ids[fault.Target%len(s.ids)]]
 	s.loop.log("fault %v %s for %v", fault.Kind, target.process.id, fault.Span)
 	switch fault.Kind {
@@ -101,7 +101,7 @@
 	case FaultStop:
 		s.stopPlanned(target, fault.Span)
 	case FaultCut, FaultCutOneWay, FaultRegions:
-		s.cutOff(target, fault)
+		s.cutTraffic(target, fault)
 	case FaultPlatformDown:
 		s.platform.setDown(true)
 		s.loop.after(fault.Span, func() { s.platform.setDown(false) })
@@ -109,7 +109,7 @@
 		s.platform.slow = true
 		s.loop.after(fault.Span, func() { s.platform.slow = false })
 	case FaultLoseAnswer:
-		s.platform.loseAnswers++
+		s.platform.loseWriteAnswers++
 	case FaultPublish:
 		s.operators.publish()
 	case FaultRace:
@@ -117,7 +117,7 @@
 	case FaultMembers:
 		s.changeMembers(target, fault.Span)
 	case FaultWithdraw:
-		s.withdraw(target, fault.Span)
+		s.listAsLeaving(target, fault.Span)
 	case FaultClock:
 		target.process.clockError = s.loop.between(-s.options.ClockError/2, s.options.ClockError/2)
 	case FaultSurge:
@@ -127,13 +127,13 @@
 	}
 }
 
-func (s *Simulation) kill(n *node, machine bool, span time.Duration) {
+func (s *Simulation) kill(n *node, withMachine bool, span time.Duration) {
 	if !n.process.up {
 		return
 	}
-	s.checks.disturb(n)
-	n.machineDown = machine
-	n.stop(machine)
+	s.checks.markDisturbed(n)
+	n.machineDown = withMachine
+	n.stop(withMachine)
 	s.loop.after(max(span, time.Second), func() { s.restart(n) })
 }
 
@@ -142,9 +142,9 @@
 		return
 	}
 	n.machineDown = false
-	delete(s.platform.leaving, n.process.id)
+	delete(s.platform.leavingSince, n.process.id)
 	s.checks.restarted(n)
-	s.checks.disturb(n)
+	s.checks.markDisturbed(n)
 	n.start()
 }
 
@@ -160,10 +160,10 @@
 	for _, a := range n.pending {
 		a.request.paused = true
 	}
-	s.checks.disturb(n)
+	s.checks.markDisturbed(n)
 	s.loop.after(span, func() {
 		if n.process.up && n.process.generation == generation {
-			s.checks.disturb(n)
+			s.checks.markDisturbed(n)
 			n.process.thaw()
 		}
 	})
@@ -175,8 +175,8 @@
 	if !n.process.up || n.process.frozen {
 		return
 	}
-	s.checks.leavingSince(n)
-	s.checks.disturb(n)
+	s.checks.markLeaving(n)
+	s.checks.markDisturbed(n)
 	if n.isRouter() {
 		n.performControl(n.router.Drain(n.clock()))
 	} else {
@@ -192,21 +192,21 @@
 		return
 	}
 	busy := len(n.exchanges) > 0 || len(n.pending) > 0
-	if s.options.Break == BreakDrain {
+	if s.options.Disabled == MechanismDrain {
 		busy = false
 	}
 	if busy || s.loop.now.Before(earliest) {
 		s.loop.after(100*time.Millisecond, func() { s.awaitDrained(n, generation, earliest, span) })
 		return
 	}
-	s.checks.planned = true
+	s.checks.inPlannedStop = true
 	n.stop(false)
-	s.checks.planned = false
+	s.checks.inPlannedStop = false
 	s.loop.after(max(span, time.Second), func() { s.restart(n) })
 }
 
 // cutOff cuts traffic for a while.
-func (s *Simulation) cutOff(target *node, fault Fault) {
+func (s *Simulation) cutTraffic(target *node, fault Fault) {
 	isTarget := func(p *process) bool { return p == &target.process }
 	isOther := func(p *process) bool { return p != &target.process }
 	cuts := []*cut{{from: isTarget, to: isOther}}
@@ -214,20 +214,20 @@
 	case FaultCut:
 		cuts = append(cuts, &cut{from: isOther, to: isTarget})
 	case FaultRegions:
-		inside, outside := s.firstPart()
+		inside, outside := s.partitionSides()
 		cuts = []*cut{{from: inside, to: outside}, {from: outside, to: inside}}
 	}
 	for _, c := range cuts {
 		s.network.add(c)
 	}
 	s.cutFromPlatform(fault.Kind, target, true)
-	s.disturbAll(fault.Kind, target)
+	s.markCutNodes(fault.Kind, target)
 	s.loop.after(fault.Span, func() {
 		for _, c := range cuts {
 			s.network.remove(c)
 		}
 		s.cutFromPlatform(fault.Kind, target, false)
-		s.disturbAll(fault.Kind, target)
+		s.markCutNodes(fault.Kind, target)
 	})
 }
 
@@ -240,7 +240,7 @@
 	if kind != FaultRegions {
 		return
 	}
-	inside, _ := s.firstPart()
+	inside, _ := s.partitionSides()
 	for _, id := range s.ids {
 		if n := s.nodes[id]; inside(&n.process) {
 			n.platformCut = isCut
@@ -250,41 +250,41 @@
 
 // firstPart returns tests for the first region and the rest, or for the first
 // zone where there is one region.
-func (s *Simulation) firstPart() (inside, outside func(*process) bool) {
+func (s *Simulation) partitionSides() (inside, outside func(*process) bool) {
 	inside = func(p *process) bool { return p.region == "r0" && (s.options.Size.Regions > 1 || p.zone == "r0z0") }
 	return inside, func(p *process) bool { return !inside(p) }
 }
 
-func (s *Simulation) disturbAll(kind FaultKind, target *node) {
+func (s *Simulation) markCutNodes(kind FaultKind, target *node) {
 	if kind != FaultRegions {
-		s.checks.disturb(target)
+		s.checks.markDisturbed(target)
 		return
 	}
 	for _, id := range s.ids {
-		s.checks.disturbed[id] = s.loop.now
+		s.checks.lastDisturbed[id] = s.loop.now
 	}
 }
 
 // changeMembers drops a back end from the bundle and brings it back.
 func (s *Simulation) changeMembers(target *node, span time.Duration) {
-	if target.isRouter() || s.operators.without[target.process.id] {
+	if target.isRouter() || s.operators.omitted[target.process.id] {
 		return
 	}
-	s.operators.without[target.process.id] = true
+	s.operators.omitted[target.process.id] = true
 	s.operators.publish()
 	s.loop.after(max(span, 5*time.Second), func() {
-		delete(s.operators.without, target.process.id)
+		delete(s.operators.omitted, target.process.id)
 		s.operators.publish()
 		// An agent that left the bundle takes no work until it is restarted.
 		s.loop.after(10*time.Second, func() { s.stopPlanned(target, time.Second) })
 	})
 }
 
-func (s *Simulation) withdraw(n *node, span time.Duration) {
-	if _, already := s.platform.leaving[n.process.id]; already || !n.process.up {
+func (s *Simulation) listAsLeaving(n *node, span time.Duration) {
+	if _, already := s.platform.leavingSince[n.process.id]; already || !n.process.up {
 		return
 	}
-	s.platform.leaving[n.process.id] = s.loop.now
+	s.platform.leavingSince[n.process.id] = s.loop.now
 	s.loop.after(max(span, 20*time.Second), func() { s.stopPlanned(n, time.Second) })
 }
 
@@ -300,7 +300,7 @@
 	// Chats that pause now come back sooner.
 	for _, ch := range s.callers.chats {
 		if !ch.busy && (tenant < 0 || ch.tenant == tenant) && s.loop.random.IntN(2) == 0 {
-			s.loop.after(s.loop.between(0, span/2), func() { s.callers.turn(ch) })
+			s.loop.after(s.loop.between(0, span/2), func() { s.callers.startTurn(ch) })
 		}
 	}
 }
--- a/internal/simulation/loop.go
+++ b/internal/simulation/loop.go
@@ -48,19 +48,19 @@
 }
 
 // keptLines is how many lines of the log are kept to show at a violation.
-const keptLines = 40
+const recentLineLimit = 40
 
 // loop is the event loop with its clock, its random source and its log.
 type loop struct {
-	now      time.Time
-	started  time.Time
-	events   eventHeap
-	sequence uint64
-	random   *rand.Rand
-	digest   *xxhash.Digest
-	lines    []string
-	logged   uint64
-	sink     func(string)
+	now         time.Time
+	started     time.Time
+	events      eventHeap
+	sequence    uint64
+	random      *rand.Rand
+	digest      *xxhash.Digest
+	recentLines []string
+	lineCount   uint64
+	sink        func(string)
 }
 
 // epoch is when every simulation begins.
@@ -110,14 +110,14 @@
 func (l *loop) log(format string, arguments ...any) {
 	line := fmt.Sprintf("%10.3f ", l.now.Sub(l.started).Seconds()) + fmt.Sprintf(format, arguments...)
 	_, _ = l.digest.WriteString(line + "\n")
-	l.logged++
+	l.lineCount++
 	if l.sink != nil {
 		l.sink(line)
 	}
-	if len(l.lines) == keptLines {
-		l.lines = append(l.lines[:0], l.lines[1:]...)
+	if len(l.recentLines) == recentLineLimit {
+		l.recentLines = append(l.recentLines[:0], l.recentLines[1:]...)
 	}
-	l.lines = append(l.lines, line)
+	l.recentLines = append(l.recentLines, line)
 }
 
 // exponential returns a random span with the mean.
--- a/internal/simulation/measure.go
+++ b/internal/simulation/measure.go
@@ -23,18 +23,18 @@
 	attempts     int
 	routerStarts int
 	refusals     map[failure.Kind]int
-	finals       map[failure.Kind]int
+	givenUp      map[failure.Kind]int
 	served       int
 	// finalsWithRoom counts requests that were finally refused while a member
 	// of their pool had room.
-	finalsWithRoom int
-	returning      int
-	reused         int
-	contextTokens  int
-	cachedTokens   int
-	tenantAsked    map[string]int
-	tenantServed   map[string]int
-	firstToken     *hdrhistogram.Histogram
+	givenUpWithRoom int
+	returningTurns  int
+	reusedTurns     int
+	contextTokens   int
+	cachedTokens    int
+	tenantRequests  map[string]int
+	tenantServed    map[string]int
+	firstToken      *hdrhistogram.Histogram
 
 	sent, received map[string]*traffic
 	newsBytes      int
@@ -57,8 +57,8 @@
 func newMeasure(s *Simulation) *measure {
 	const highestMicros = int64(10 * time.Minute / time.Microsecond)
 	return &measure{
-		s: s, refusals: map[failure.Kind]int{}, finals: map[failure.Kind]int{},
-		tenantAsked: map[string]int{}, tenantServed: map[string]int{},
+		s: s, refusals: map[failure.Kind]int{}, givenUp: map[failure.Kind]int{},
+		tenantRequests: map[string]int{}, tenantServed: map[string]int{},
 		firstToken: hdrhistogram.New(1, highestMicros, 3),
 		sent:       map[string]*traffic{}, received: map[string]*traffic{}, platformCalls: map[int64]int{},
 	}
@@ -74,7 +74,7 @@
 // frameOverhead is what a WebSocket frame adds to a message, in bytes.
 const frameOverhead = 6
 
-func (m *measure) controlMessage(n *node, message coordination.Message) int {
+func (m *measure) controlSent(n *node, message coordination.Message) int {
 	raw, err := message.Encode()
 	if err != nil {
 		return 0
@@ -103,17 +103,17 @@
 	}
 }
 
-func (m *measure) begun(r *request) {
+func (m *measure) requestStarted(r *request) {
 	if m.counting {
 		m.requests++
-		m.tenantAsked[r.tenant]++
+		m.tenantRequests[r.tenant]++
 	}
 }
 
 // base64Growth is how much longer a header gets by its encoding.
 const base64Growth = 4.0 / 3
 
-func (m *measure) attempt(head hop.Head) {
+func (m *measure) attemptSent(head hop.Head) {
 	if !m.counting {
 		return
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-func (m *measure) refused(kind failure.Kind) {
+func (m *measure) attemptRefused(kind failure.Kind) {
 	if m.counting {
 		m.refusals[kind]++
 	}
@@ -132,39 +132,39 @@
 // fullKinds are the refusals that mean that the pool had no room.
 var fullKinds = []failure.Kind{failure.OverBound, failure.QueueFull, failure.PoolExhausted}
 
-func (m *measure) gaveUp(n *node, r *request, kind failure.Kind) {
+func (m *measure) requestGivenUp(n *node, r *request, kind failure.Kind) {
 	if !m.counting {
 		return
 	}
-	m.finals[kind]++
+	m.givenUp[kind]++
 	if r.key == "" && slices.Contains(fullKinds, kind) && m.s.pools[r.pool].hasRoom(n) {
-		m.finalsWithRoom++
+		m.givenUpWithRoom++
 	}
 }
 
 // started notes reuse: a returning turn finds its context cached if most of the
 // context it had is there.
-func (m *measure) started(a *attempt) {
+func (m *measure) runStarted(a *attempt) {
 	r := a.request
 	if !m.counting || r.chat == nil || r.chat.turns == 0 {
 		return
 	}
-	m.returning++
-	m.contextTokens += r.chat.context
-	m.cachedTokens += min(a.service.cached, r.chat.context)
-	if a.service.cached >= r.chat.context {
-		m.reused++
+	m.returningTurns++
+	m.contextTokens += r.chat.contextTokens
+	m.cachedTokens += min(a.timing.cached, r.chat.contextTokens)
+	if a.timing.cached >= r.chat.contextTokens {
+		m.reusedTurns++
 	}
 }
 
-func (m *measure) answered(r *request, o outcome) {
+func (m *measure) requestAnswered(r *request, o outcome) {
 	if !m.counting || !o.served {
 		return
 	}
 	m.served++
 	m.tenantServed[r.tenant]++
 	if r.chat != nil {
-		_ = m.firstToken.RecordValue((m.s.loop.now.Sub(r.begun) - o.service.whole + o.service.firstToken).Microseconds())
+		_ = m.firstToken.RecordValue((m.s.loop.now.Sub(r.startedAt) - o.timing.total + o.timing.firstToken).Microseconds())
 	}
 }
 
@@ -178,7 +178,7 @@
 		var loads []int
 		total := 0
 		for _, member := range p.members {
-			if serving(member) {
+			if isServing(member) {
 				loads = append(loads, member.agent.Gate().Load())
 				total += member.agent.Gate().Load()
 			}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -9,17 +9,17 @@
 
 // Latencies of one way.
 const (
-	latencyInZone       = 300 * time.Microsecond
-	latencyBetweenZones = 1500 * time.Microsecond
-	latencyRegions      = 30 * time.Millisecond
-	latencyCallers      = 4 * time.Millisecond
+	latencyInZone         = 300 * time.Microsecond
+	latencyBetweenZones   = 1500 * time.Microsecond
+	latencyBetweenRegions = 30 * time.Millisecond
+	callerLatency         = 4 * time.Millisecond
 	// brokenAfter is how long a connection survives a cut: see the keep-alive
 	// settings of the hop.
-	brokenAfter = 8 * time.Second
+	keepAliveTimeout = 8 * time.Second
 	// dialTimeout is how long a dial into a cut takes to fail.
 	dialTimeout = time.Second
 	// cutProbe is how often a waiting message tries again.
-	cutProbe = 250 * time.Millisecond
+	cutRetryPeriod = 250 * time.Millisecond
 )
 
 // cut blocks traffic in one direction between two groups of processes.
@@ -49,18 +49,18 @@
 
 func (n *network) remove(c *cut) {
 	n.cuts = slices.DeleteFunc(n.cuts, func(other *cut) bool { return other == c })
-	n.healed = slices.DeleteFunc(n.healed, func(h healedCut) bool { return n.s.loop.now.Sub(h.at) > settleWithin })
+	n.healed = slices.DeleteFunc(n.healed, func(h healedCut) bool { return n.s.loop.now.Sub(h.at) > settleTime })
 	n.healed = append(n.healed, healedCut{cut: c, at: n.s.loop.now})
 }
 
 // wasCut tells whether a cut is on or has just ended.
-func (n *network) wasCut() bool {
-	return len(n.cuts) > 0 || len(n.healed) > 0 && n.s.loop.now.Sub(n.healed[len(n.healed)-1].at) <= settleWithin
+func (n *network) recentlyCut() bool {
+	return len(n.cuts) > 0 || len(n.healed) > 0 && n.s.loop.now.Sub(n.healed[len(n.healed)-1].at) <= settleTime
 }
 
 // onSide tells whether no cut, not even one that has just ended, lies between
 // two nodes.
-func (n *network) onSide(a, b *node) bool {
+func (n *network) sameSide(a, b *node) bool {
 	separates := func(c *cut) bool {
 		return c.from(&a.process) && c.to(&b.process) || c.from(&b.process) && c.to(&a.process)
 	}
@@ -68,7 +68,7 @@
 		return false
 	}
 	return !slices.ContainsFunc(n.healed, func(h healedCut) bool {
-		return n.s.loop.now.Sub(h.at) <= settleWithin && separates(h.cut)
+		return n.s.loop.now.Sub(h.at) <= settleTime && separates(h.cut)
 	})
 }
 
@@ -85,7 +85,7 @@
 	base := latencyInZone
 	switch {
 	case from.region != to.region:
-		base = latencyRegions
+		base = latencyBetweenRegions
 	case from.zone != to.zone:
 		base = latencyBetweenZones
 	}
@@ -94,11 +94,11 @@
 
 // simLink is one control connection.
 type simLink struct {
-	ends   [2]*node
-	ids    [2]coordination.LinkID
-	open   [2]bool
-	gens   [2]int
-	queues [2]time.Time // the arrival of the last message towards each end
+	ends         [2]*node
+	ids          [2]coordination.LinkID
+	open         [2]bool
+	generations  [2]int
+	lastArrivals [2]time.Time // the arrival of the last message towards each end
 }
 
 // connect opens a connection as the daemon's peering would.
@@ -134,11 +134,11 @@
 	for i, end := range l.ends {
 		end.lastLink++
 		l.ids[i] = end.lastLink
-		l.gens[i] = end.process.generation
+		l.generations[i] = end.process.generation
 		end.links[l.ids[i]] = l
 	}
 	for i, end := range l.ends {
-		end.process.deliver(l.gens[i], func() {
+		end.process.deliver(l.generations[i], func() {
 			end.control(coordination.LinkUp{Link: l.ids[i], Peer: l.ends[1-i].process.id, Dialed: i == 0})
 		})
 	}
@@ -158,25 +158,25 @@
 	if l == nil {
 		return
 	}
-	size := n.s.measure.controlMessage(from, action.Message)
+	size := n.s.measure.controlSent(from, action.Message)
 	side := l.side(from)
 	to := l.ends[1-side]
 	n.s.measure.controlReceived(to, size)
 	arrival := n.s.loop.now.Add(n.latency(&from.process, &to.process))
-	if n.s.loop.random.Float64() >= n.reorder && arrival.Before(l.queues[1-side]) {
-		arrival = l.queues[1-side] // TCP keeps the order
+	if n.s.loop.random.Float64() >= n.reorder && arrival.Before(l.lastArrivals[1-side]) {
+		arrival = l.lastArrivals[1-side] // TCP keeps the order
 	}
-	l.queues[1-side] = arrival
-	deadline := n.s.loop.now.Add(brokenAfter)
-	n.s.loop.after(arrival.Sub(n.s.loop.now), func() { n.arrive(l, side, action.Message, deadline) })
+	l.lastArrivals[1-side] = arrival
+	deadline := n.s.loop.now.Add(keepAliveTimeout)
+	n.s.loop.after(arrival.Sub(n.s.loop.now), func() { n.deliverMessage(l, side, action.Message, deadline) })
 	if n.s.loop.random.Float64() < n.duplicate {
-		n.s.loop.after(arrival.Sub(n.s.loop.now)+n.latency(&from.process, &to.process), func() { n.arrive(l, side, action.Message, deadline) })
+		n.s.loop.after(arrival.Sub(n.s.loop.now)+n.latency(&from.process, &to.process), func() { n.deliverMessage(l, side, action.Message, deadline) })
 	}
 }
 
 // arrive delivers a message, or holds it while the way is cut, until the
 // connection breaks.
-func (n *network) arrive(l *simLink, side int, message coordination.Message, deadline time.Time) {
+func (n *network) deliverMessage(l *simLink, side int, message coordination.Message, deadline time.Time) {
 	from, to := l.ends[side], l.ends[1-side]
 	if !l.open[1-side] {
 		return
@@ -186,10 +186,10 @@
 			n.breakLink(l)
 			return
 		}
-		n.s.loop.after(cutProbe, func() { n.arrive(l, side, message, deadline) })
+		n.s.loop.after(cutRetryPeriod, func() { n.deliverMessage(l, side, message, deadline) })
 		return
 	}
-	to.process.deliver(l.gens[1-side], func() {
+	to.process.deliver(l.generations[1-side], func() {
 		if l.open[1-side] {
 			to.control(coordination.Received{Link: l.ids[1-side], Message: message})
 		}
@@ -204,7 +204,7 @@
 		}
 		l.open[i] = false
 		delete(end.links, l.ids[i])
-		end.process.deliver(l.gens[i], func() {
+		end.process.deliver(l.generations[i], func() {
 			end.control(coordination.LinkDown{Link: l.ids[i], Peer: l.ends[1-i].process.id})
 		})
 	}
@@ -212,7 +212,7 @@
 
 // closeAll ends the connections of a process that died. When its machine died
 // with it, nobody tells the peers, and they notice after a while.
-func (n *network) closeAll(of *node, machine bool) {
+func (n *network) closeAll(of *node, withMachine bool) {
 	var links []*simLink
 	for id := coordination.LinkID(1); id <= of.lastLink; id++ {
 		if l := of.links[id]; l != nil {
@@ -223,8 +223,8 @@
 	for _, l := range links {
 		l.open[l.side(of)] = false
 		wait := n.latency(&of.process, &l.ends[1-l.side(of)].process)
-		if machine {
-			wait = brokenAfter
+		if withMachine {
+			wait = keepAliveTimeout
 		}
 		n.s.loop.after(wait, func() { n.breakLink(l) })
 	}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -69,17 +69,17 @@
 		config := router.DefaultConfig(n.identity)
 		config.Coordination = control
 		config.Policy = n.s.options.Policy.policy
-		config.IgnoreLeaving = n.s.options.Break == BreakLeaving
-		config.RetryUnknown = n.s.options.Break == BreakRetryUnknown
+		config.IgnoreLeaving = n.s.options.Disabled == MechanismLeaving
+		config.RetryUnknown = n.s.options.Disabled == MechanismRetryUnknown
 		config.Random = n.s.loop.random
-		n.router = router.New(config, n.s.open, acceptor, n.clock())
+		n.router = router.New(config, n.s.openBundle, acceptor, n.clock())
 		n.exchanges = map[*request]bool{}
 		n.s.measure.routerStarts++
 	} else {
 		config := agent.DefaultConfig(n.identity)
 		config.Coordination = control
-		config.Disable = n.s.options.disable()
-		n.agent = agent.New(config, n.s.open, acceptor, n.clock())
+		config.Disable = n.s.options.agentDisable()
+		n.agent = agent.New(config, n.s.openBundle, acceptor, n.clock())
 		n.pending = map[admission.RequestID]*attempt{}
 		n.countLoad()
 	}
@@ -139,7 +139,7 @@
 		case coordination.ReadMachines:
 			n.s.platform.readMachines(n)
 		case coordination.BundleAdopted:
-			n.s.checks.adopted(n, a.Bundle.Number)
+			n.s.checks.checkAdopted(n, a.Bundle.Number)
 		case coordination.BundleRefused:
 			n.s.loop.log("%s refused a bundle from %s: %v", n.process.id, a.From, a.Err.Kind)
 		}
@@ -175,25 +175,25 @@
 	rose := load > n.load
 	n.load = load
 	if rose {
-		n.s.checks.admitted(n, load)
+		n.s.checks.checkAdmission(n, load)
 		return
 	}
 	n.s.pools[n.backEnd.pool].sample(n.s.loop.now)
 }
 
 // stop ends the process. machine says that its machine and back end die too.
-func (n *node) stop(machine bool) {
+func (n *node) stop(withMachine bool) {
 	if !n.process.up {
 		return
 	}
-	n.s.loop.log("stop %s machine %v", n.process.id, machine)
+	n.s.loop.log("stop %s machine %v", n.process.id, withMachine)
 	n.process.up = false
 	n.process.inbox = nil
-	n.s.network.closeAll(n, machine)
+	n.s.network.closeAll(n, withMachine)
 	if n.isRouter() {
-		n.s.loseRouter(n)
+		n.s.failRouterRequests(n)
 		return
 	}
-	n.s.loseAgent(n, machine)
+	n.s.failAgentAttempts(n, withMachine)
 	n.countLoad()
 }
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -15,20 +15,20 @@
 	s        *Simulation
 	attempts int
 	// without and leaving describe the next document.
-	without map[string]bool
+	omitted map[string]bool
 	leaving map[string]bool
 }
 
 func newOperators(s *Simulation) *operators {
-	return &operators{s: s, without: map[string]bool{}, leaving: map[string]bool{}}
+	return &operators{s: s, omitted: map[string]bool{}, leaving: map[string]bool{}}
 }
 
 func (o *operators) publisher() *objectstore.Publisher {
 	now := func() time.Time { return o.s.loop.now }
 	// Operators act at one moment here; a doubtful write is looked at again at
 	// once.
-	atOnce := func(context.Context, time.Duration) error { return nil }
-	return objectstore.NewPublisher(o.s.platform, o.s.trusted, now).WithPause(atOnce)
+	noPause := func(context.Context, time.Duration) error { return nil }
+	return objectstore.NewPublisher(o.s.platform, o.s.trusted, now).WithPause(noPause)
 }
 
 // sign returns the present document as the successor of what is published.
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	source := o.s.options.Size.document(o.without, o.leaving, o.attempts)
+	source := o.s.options.Size.document(o.omitted, o.leaving, o.attempts)
 	content, err := bundle.Parse("bundle", source)
 	if err != nil {
 		return nil, nil, err
@@ -69,29 +69,29 @@
 		return
 	}
 	o.s.loop.log("number %d published", published.Number)
-	o.s.checks.published(published)
+	o.s.checks.awaitPublished(published)
 }
 
 // race lets two operators publish at the same moment: exactly one may win.
 func (o *operators) race() {
-	first, _, err := o.sign()
+	firstRaw, _, err := o.sign()
 	if err != nil {
 		return
 	}
-	second, _, err := o.sign()
+	secondRaw, _, err := o.sign()
 	if err != nil {
 		return
 	}
-	var winner, loser error
-	o.s.platform.beforeWrite = func() { _, winner = o.publisher().Publish(context.Background(), second) }
-	published, loser := o.publisher().Publish(context.Background(), first)
+	var secondErr, firstErr error
+	o.s.platform.beforeWrite = func() { _, secondErr = o.publisher().Publish(context.Background(), secondRaw) }
+	published, firstErr := o.publisher().Publish(context.Background(), firstRaw)
 	o.s.platform.beforeWrite = nil
-	o.s.checks.raced(winner, loser)
-	if loser == nil {
-		o.s.checks.published(published)
+	o.s.checks.checkRace(secondErr, firstErr)
+	if firstErr == nil {
+		o.s.checks.awaitPublished(published)
 		return
 	}
 	if current, _, err := o.publisher().Current(context.Background()); err == nil && current != nil {
-		o.s.checks.published(current)
+		o.s.checks.awaitPublished(current)
 	}
 }
--- a/internal/simulation/options.go
+++ b/internal/simulation/options.go
@@ -10,25 +10,25 @@
 
 // Break names a mechanism that a simulation can switch off, to show that the
 // checkers notice.
-type Break string
+type Mechanism string
 
 // The mechanisms.
 const (
-	BreakNothing      Break = ""
-	BreakBound        Break = "bound"
-	BreakKeys         Break = "keys"
-	BreakKeyAge       Break = "key-age"
-	BreakLease        Break = "lease"
-	BreakLeaving      Break = "leaving"
-	BreakDrain        Break = "drain"
-	BreakBundleOrder  Break = "bundle-order"
-	BreakRetryUnknown Break = "retry-unknown"
-	BreakThaw         Break = "thaw"
+	MechanismNone         Mechanism = ""
+	MechanismBound        Mechanism = "bound"
+	MechanismKeys         Mechanism = "keys"
+	MechanismKeyAge       Mechanism = "key-age"
+	MechanismLease        Mechanism = "lease"
+	MechanismLeaving      Mechanism = "leaving"
+	MechanismDrain        Mechanism = "drain"
+	MechanismBundleOrder  Mechanism = "bundle-order"
+	MechanismRetryUnknown Mechanism = "retry-unknown"
+	MechanismThaw         Mechanism = "thaw"
 )
 
 // Breaks lists the mechanisms that can be switched off.
-func Breaks() []Break {
-	return []Break{BreakBound, BreakKeys, BreakKeyAge, BreakLease, BreakLeaving, BreakDrain, BreakBundleOrder, BreakRetryUnknown, BreakThaw}
+func Mechanisms() []Mechanism {
+	return []Mechanism{MechanismBound, MechanismKeys, MechanismKeyAge, MechanismLease, MechanismLeaving, MechanismDrain, MechanismBundleOrder, MechanismRetryUnknown, MechanismThaw}
 }
 
 // Policy is a way to choose back ends, for comparison.
@@ -84,7 +84,7 @@
 	Duplicate float64
 	Reorder   float64
 	// Break switches a mechanism off.
-	Break Break
+	Disabled Mechanism
 	// Log, if set, takes every line of the event log.
 	Log func(line string)
 }
@@ -92,18 +92,18 @@
 // coordination returns the control plane's settings.
 func (o Options) coordination() coordination.Config {
 	config := coordination.DefaultConfig()
-	config.AcceptAnyOrder = o.Break == BreakBundleOrder
-	config.IgnorePauses = o.Break == BreakThaw
+	config.AcceptAnyOrder = o.Disabled == MechanismBundleOrder
+	config.IgnorePauses = o.Disabled == MechanismThaw
 	return config
 }
 
 // disable returns what the agents leave out.
-func (o Options) disable() agent.Disable {
+func (o Options) agentDisable() agent.Disable {
 	return agent.Disable{
-		Bound:  o.Break == BreakBound || o.Policy.unbounded,
-		Keys:   o.Break == BreakKeys,
-		KeyAge: o.Break == BreakKeyAge,
-		Lease:  o.Break == BreakLease,
-		Leave:  o.Break == BreakLeaving,
+		Bound:  o.Disabled == MechanismBound || o.Policy.unbounded,
+		Keys:   o.Disabled == MechanismKeys,
+		KeyAge: o.Disabled == MechanismKeyAge,
+		Lease:  o.Disabled == MechanismLease,
+		Leave:  o.Disabled == MechanismLeaving,
 	}
 }
--- a/internal/simulation/pool.go
+++ b/internal/simulation/pool.go
@@ -14,8 +14,8 @@
 	members []*node
 	// recent holds the pool's mean load at past moments; sides, while the
 	// network is cut, that of the members on each member's side.
-	recent meanQueue
-	sides  map[*node]*meanQueue
+	recentMeans meanQueue
+	sideMeans   map[*node]*meanQueue
 }
 
 // meanSample is the mean at a moment.
@@ -28,7 +28,7 @@
 type meanQueue []meanSample
 
 // note adds the mean of the present moment.
-func (q *meanQueue) note(now time.Time, mean float64) {
+func (q *meanQueue) add(now time.Time, mean float64) {
 	list := *q
 	for len(list) > 0 && list[len(list)-1].mean <= mean {
 		list = list[:len(list)-1]
@@ -52,16 +52,16 @@
 
 // serving tells whether the member counts towards the pool's mean: its process
 // is up and takes new work.
-func serving(n *node) bool { return n.process.up && !n.agent.Gate().IsLeaving() }
+func isServing(n *node) bool { return n.process.up && !n.agent.Gate().IsLeaving() }
 
 // present is the mean over some members at the present moment.
-type present struct {
+type meanLoad struct {
 	mean  float64
 	count int
 }
 
 // withOneMore returns the mean with one more request.
-func (p present) withOneMore() float64 {
+func (p meanLoad) withOneMore() float64 {
 	if p.count == 0 {
 		return 0
 	}
@@ -69,18 +69,18 @@
 }
 
 // mean returns the present mean over the serving members that include takes.
-func (p *poolState) mean(include func(*node) bool) present {
+func (p *poolState) mean(include func(*node) bool) meanLoad {
 	total, count := 0, 0
 	for _, member := range p.members {
-		if serving(member) && include(member) {
+		if isServing(member) && include(member) {
 			total += member.agent.Gate().Load()
 			count++
 		}
 	}
 	if count == 0 {
-		return present{}
+		return meanLoad{}
 	}
-	return present{mean: float64(total) / float64(count), count: count}
+	return meanLoad{mean: float64(total) / float64(count), count: count}
 }
 
 func everyMember(*node) bool { return true }
@@ -88,47 +88,47 @@
 // settleWithin is how long after a fault struck or left a member its peers may
 // still reckon the mean without it: until they have noticed its silence, or
 // heard from it again.
-const settleWithin = 4 * time.Second
+const settleTime = 4 * time.Second
 
 // isSettled tells whether the pool has had time to notice the member's state.
 func (p *poolState) isSettled(n *node) bool {
-	at, hit := p.s.checks.unsettled[n.process.id]
-	return n.ready() && !n.process.frozen && !(hit && p.s.loop.now.Sub(at) <= settleWithin)
+	at, hit := p.s.checks.lastStateChange[n.process.id]
+	return n.ready() && !n.process.frozen && !(hit && p.s.loop.now.Sub(at) <= settleTime)
 }
 
 // views returns the means that a member may go by at the present moment. While
 // members come and go, that is the mean with and without those whose state isn't
 // settled; while the network is cut, and until the sides have heard of each other
 // again, also the means over the members on its side.
-func (p *poolState) views(member *node) []present {
-	views := []present{p.mean(everyMember), p.mean(p.isSettled)}
-	if !p.s.network.wasCut() {
-		return views
+func (p *poolState) allowedMeans(member *node) []meanLoad {
+	means := []meanLoad{p.mean(everyMember), p.mean(p.isSettled)}
+	if !p.s.network.recentlyCut() {
+		return means
 	}
-	onSide := func(m *node) bool { return m == member || p.s.network.onSide(member, m) }
-	settled := func(m *node) bool { return m == member || onSide(m) && p.isSettled(m) }
-	return append(views, p.mean(onSide), p.mean(settled))
+	sameSide := func(m *node) bool { return m == member || p.s.network.sameSide(member, m) }
+	settledOnSide := func(m *node) bool { return m == member || sameSide(m) && p.isSettled(m) }
+	return append(means, p.mean(sameSide), p.mean(settledOnSide))
 }
 
 // sample notes the present means for admissions to come: those are judged by the
 // highest mean of the last moments, with the request to be admitted counted.
 func (p *poolState) sample(now time.Time) {
-	for _, view := range []present{p.mean(everyMember), p.mean(p.isSettled)} {
-		p.recent.note(now, view.withOneMore())
+	for _, load := range []meanLoad{p.mean(everyMember), p.mean(p.isSettled)} {
+		p.recentMeans.add(now, load.withOneMore())
 	}
-	if !p.s.network.wasCut() {
-		p.sides = nil
+	if !p.s.network.recentlyCut() {
+		p.sideMeans = nil
 		return
 	}
-	if p.sides == nil {
-		p.sides = map[*node]*meanQueue{}
+	if p.sideMeans == nil {
+		p.sideMeans = map[*node]*meanQueue{}
 	}
 	for _, member := range p.members {
-		if p.sides[member] == nil {
-			p.sides[member] = &meanQueue{}
+		if p.sideMeans[member] == nil {
+			p.sideMeans[member] = &meanQueue{}
 		}
-		for _, view := range p.views(member) {
-			p.sides[member].note(now, view.withOneMore())
+		for _, load := range p.allowedMeans(member) {
+			p.sideMeans[member].add(now, load.withOneMore())
 		}
 	}
 }
@@ -136,12 +136,12 @@
 // highest returns the highest mean that the member may go by: of the last
 // moments, and of the present, in which its new request is counted already.
 func (p *poolState) highest(n *node, now time.Time, window time.Duration) float64 {
-	highest := p.recent.highest(now, window)
-	if side := p.sides[n]; side != nil {
+	highest := p.recentMeans.highest(now, window)
+	if side := p.sideMeans[n]; side != nil {
 		highest = max(highest, side.highest(now, window))
 	}
-	for _, view := range p.views(n) {
-		highest = max(highest, view.mean)
+	for _, load := range p.allowedMeans(n) {
+		highest = max(highest, load.mean)
 	}
 	return highest
 }
@@ -156,7 +156,7 @@
 func (p *poolState) hasRoom(from *node) bool {
 	total, count, least := 0, 0, math.MaxInt
 	for _, member := range p.members {
-		if !serving(member) || member.process.frozen {
+		if !isServing(member) || member.process.frozen {
 			continue
 		}
 		if p.s.network.blocked(&from.process, &member.process) || p.s.network.blocked(&member.process, &from.process) {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -67,20 +67,20 @@
 	m := s.measure
 	r := Result{
 		Size: s.options.Size.Name, Policy: s.options.Policy.Name, Seed: s.options.Seed,
-		Digest: s.loop.digest.Sum64(), LogLines: s.loop.logged,
-		Violations: s.checks.violations, Counts: s.checks.counts, LastEvents: slices.Clone(s.loop.lines),
+		Digest: s.loop.digest.Sum64(), LogLines: s.loop.lineCount,
+		Violations: s.checks.violations, Counts: s.checks.counts, LastEvents: slices.Clone(s.loop.recentLines),
 		Requests: m.requests, Attempts: m.attempts, Served: m.served, Finals: map[string]int{},
 		AttemptsPerRequest: ratio(m.attempts, m.requests),
-		RefusedWithRoom:    ratio(m.finalsWithRoom, m.requests),
+		RefusedWithRoom:    ratio(m.givenUpWithRoom, m.requests),
 		Admissions:         s.checks.admissions,
-		OverBoundStrict:    ratio(s.checks.boundStrict, s.checks.admissions),
-		ReuseTurns:         ratio(m.reused, m.returning),
+		OverBoundStrict:    ratio(s.checks.overBoundStrict, s.checks.admissions),
+		ReuseTurns:         ratio(m.reusedTurns, m.returningTurns),
 		ReuseTokens:        ratio(m.cachedTokens, m.contextTokens),
 		FirstTokenMedian:   time.Duration(m.firstToken.ValueAtQuantile(50)) * time.Microsecond,
 		FirstTokenP95:      time.Duration(m.firstToken.ValueAtQuantile(95)) * time.Microsecond,
 	}
 	unknown := 0
-	for kind, count := range m.finals {
+	for kind, count := range m.givenUp {
 		r.Finals[kind.String()] = count
 		if kind.Answer().Ran == failure.RanUnknown {
 			unknown += count
@@ -162,9 +162,9 @@
 func (s *Simulation) smallestTenantServed() float64 {
 	const few = 20
 	lowest := 1.0
-	for tenant, asked := range s.measure.tenantAsked {
-		if asked > few {
-			lowest = min(lowest, ratio(s.measure.tenantServed[tenant], asked))
+	for tenant, requests := range s.measure.tenantRequests {
+		if requests > few {
+			lowest = min(lowest, ratio(s.measure.tenantServed[tenant], requests))
 		}
 	}
 	return lowest
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -18,7 +18,7 @@
 
 	draw func(random *rand.Rand, size Size, duration time.Duration) []Fault
 	// rough lets control messages be doubled and overtaken.
-	rough bool
+	unreliableControl bool
 }
 
 // Scenarios lists them all.
@@ -27,12 +27,12 @@
 		{Name: "steady", About: "no faults", Warmup: 3 * time.Minute, Duration: 5 * time.Minute, draw: drawNothing},
 		{Name: "churn", About: "every engine goes away for half a minute about every ten minutes; some flap", Warmup: 3 * time.Minute, Duration: 10 * time.Minute, draw: drawChurn},
 		{Name: "surge", About: "the traffic triples for a minute in five, then one tenant sends ten times its share", Warmup: 3 * time.Minute, Duration: 10 * time.Minute, draw: drawSurge},
-		{Name: "partition", About: "nodes, zones or regions lose each other", Warmup: time.Minute, Duration: 5 * time.Minute, draw: drawPartition, rough: true},
+		{Name: "partition", About: "nodes, zones or regions lose each other", Warmup: time.Minute, Duration: 5 * time.Minute, draw: drawPartition, unreliableControl: true},
 		{Name: "platform-outage", About: "the platform is away or slow, with bundles and restarts around it", Warmup: time.Minute, Duration: 8 * time.Minute, draw: drawOutage},
 		{Name: "operator-race", About: "operators publish at once, answers are lost, members change", Warmup: time.Minute, Duration: 5 * time.Minute, draw: drawRace},
 		{Name: "ownership", About: "a back end leaves the bundle while one part of the fleet is cut off with it for long", Warmup: 20 * time.Second, Duration: 10 * time.Minute, draw: drawOwnership},
 		{Name: "freeze", About: "processes are paused, also across their lease, and wake", Warmup: time.Minute, Duration: 5 * time.Minute, draw: drawFreeze},
-		{Name: "everything", About: "any fault at any moment, together or twice", Warmup: time.Minute, Duration: 5 * time.Minute, draw: drawEverything, rough: true},
+		{Name: "everything", About: "any fault at any moment, together or twice", Warmup: time.Minute, Duration: 5 * time.Minute, draw: drawEverything, unreliableControl: true},
 	}
 }
 
@@ -61,7 +61,7 @@
 	if policy.noWait {
 		options.Size.affinityWait = 0
 	}
-	if c.rough {
+	if c.unreliableControl {
 		options.Duplicate, options.Reorder = 0.01, 0.01
 	}
 	return options
@@ -76,12 +76,12 @@
 	return size.Routers + random.IntN(size.nodeCount()-size.Routers)
 }
 
-func moment(random *rand.Rand, duration time.Duration) time.Duration {
+func randomTime(random *rand.Rand, duration time.Duration) time.Duration {
 	return time.Duration(random.Float64() * float64(duration))
 }
 
-func seconds(random *rand.Rand, low, high int) time.Duration {
-	return time.Duration(low)*time.Second + moment(random, time.Duration(high-low)*time.Second)
+func randomSeconds(random *rand.Rand, low, high int) time.Duration {
+	return time.Duration(low)*time.Second + randomTime(random, time.Duration(high-low)*time.Second)
 }
 
 func drawNothing(*rand.Rand, Size, time.Duration) []Fault { return nil }
@@ -95,7 +95,7 @@
 		if random.IntN(3) == 0 {
 			kind = FaultStop
 		}
-		faults = append(faults, Fault{At: moment(random, duration), Kind: kind, Target: anyAgent(random, size), Span: 30 * time.Second})
+		faults = append(faults, Fault{At: randomTime(random, duration), Kind: kind, Target: anyAgent(random, size), Span: 30 * time.Second})
 	}
 	flapping := anyAgent(random, size)
 	for i := range 6 {
@@ -115,7 +115,7 @@
 
 func drawPartition(random *rand.Rand, size Size, duration time.Duration) []Fault {
 	kinds := []FaultKind{FaultCut, FaultCutOneWay, FaultRegions, FaultCut, FaultPublish, FaultMembers}
-	return drawOf(random, size, duration, kinds, 8, 40)
+	return drawFaults(random, size, duration, kinds, 8, 40)
 }
 
 func drawOutage(random *rand.Rand, size Size, duration time.Duration) []Fault {
@@ -124,12 +124,12 @@
 		{At: duration/8 + time.Second, Kind: FaultPlatformDown, Span: duration / 2},
 		{At: duration * 3 / 4, Kind: FaultPlatformSlow, Span: 30 * time.Second},
 	}
-	return append(faults, drawOf(random, size, duration, []FaultKind{FaultKill, FaultStop, FaultPublish, FaultLoseAnswer, FaultWithdraw}, 8, 20)...)
+	return append(faults, drawFaults(random, size, duration, []FaultKind{FaultKill, FaultStop, FaultPublish, FaultLoseAnswer, FaultWithdraw}, 8, 20)...)
 }
 
 func drawRace(random *rand.Rand, size Size, duration time.Duration) []Fault {
 	kinds := []FaultKind{FaultRace, FaultRace, FaultLoseAnswer, FaultMembers, FaultPublish, FaultKill}
-	return drawOf(random, size, duration, kinds, 12, 20)
+	return drawFaults(random, size, duration, kinds, 12, 20)
 }
 
 // drawOwnership moves the keys of one plain service, while its zone and the
@@ -145,7 +145,7 @@
 
 func drawFreeze(random *rand.Rand, size Size, duration time.Duration) []Fault {
 	kinds := []FaultKind{FaultFreeze, FaultFreeze, FaultFreeze, FaultMembers, FaultPublish}
-	return drawOf(random, size, duration, kinds, 10, 60)
+	return drawFaults(random, size, duration, kinds, 10, 60)
 }
 
 func drawEverything(random *rand.Rand, size Size, duration time.Duration) []Fault {
@@ -153,20 +153,20 @@
 	for i := range kinds {
 		kinds[i] = FaultKind(i)
 	}
-	return drawOf(random, size, duration, kinds, 16, 40)
+	return drawFaults(random, size, duration, kinds, 16, 40)
 }
 
 // drawOf draws count faults of the kinds; one in four strikes twice.
-func drawOf(random *rand.Rand, size Size, duration time.Duration, kinds []FaultKind, count, longest int) []Fault {
+func drawFaults(random *rand.Rand, size Size, duration time.Duration, kinds []FaultKind, count, longest int) []Fault {
 	var faults []Fault
 	for range count {
 		fault := Fault{
-			At: moment(random, duration*9/10), Kind: kinds[random.IntN(len(kinds))],
-			Target: anyNode(random, size), Span: seconds(random, 1, longest),
+			At: randomTime(random, duration*9/10), Kind: kinds[random.IntN(len(kinds))],
+			Target: anyNode(random, size), Span: randomSeconds(random, 1, longest),
 		}
 		faults = append(faults, fault)
 		if random.IntN(4) == 0 {
-			fault.At += seconds(random, 0, 5)
+			fault.At += randomSeconds(random, 0, 5)
 			faults = append(faults, fault)
 		}
 	}
--- a/internal/simulation/simplatform.go
+++ b/internal/simulation/simplatform.go
@@ -26,10 +26,10 @@
 	down    bool
 	slow    bool
 	// loseAnswers is the number of next writes whose answer is lost.
-	loseAnswers int
-	watches     []*watch
+	loseWriteAnswers int
+	watches          []*watch
 	// leaving is when each machine was put on the list as leaving.
-	leaving map[string]time.Time
+	leavingSince map[string]time.Time
 	// beforeWrite runs once before the next write: another operator's move.
 	beforeWrite func()
 }
@@ -43,7 +43,7 @@
 // read answers a node's read of the bundle.
 func (p *simPlatform) read(n *node, action coordination.ReadPlatform) {
 	p.s.measure.platformCall(p.s.loop.now)
-	asked := n.clock()
+	requestedAt := n.clock()
 	generation := n.process.generation
 	deliver := func(event coordination.Event) {
 		n.process.deliver(generation, func() { n.control(event) })
@@ -75,7 +75,7 @@
 			return
 		}
 		p.s.loop.after(platformLatency, func() {
-			deliver(coordination.PlatformBundle{Raw: object.Value, Unchanged: unchanged, Version: object.Version, RequestedAt: asked})
+			deliver(coordination.PlatformBundle{Raw: object.Value, Unchanged: unchanged, Version: object.Version, RequestedAt: requestedAt})
 		})
 	}
 	if action.Wait == 0 || p.objects[objectstore.BundleKey].Version != action.After {
@@ -87,7 +87,7 @@
 }
 
 // wake answers the waiting watches.
-func (p *simPlatform) wake() {
+func (p *simPlatform) answerWatches() {
 	waiting := p.watches
 	p.watches = nil
 	for _, w := range waiting {
@@ -100,7 +100,7 @@
 	p.down = down
 	p.s.loop.log("platform down %v", down)
 	if down {
-		p.wake()
+		p.answerWatches()
 	}
 }
 
@@ -113,7 +113,7 @@
 	var list []coordination.Machine
 	for _, id := range p.s.ids {
 		other := p.s.nodes[id]
-		since, isLeaving := p.leaving[id]
+		since, isLeaving := p.leavingSince[id]
 		leaving := isLeaving && p.s.loop.now.Sub(since) >= machineLag
 		if !leaving && other.identity.Role != membership.RoleRouter {
 			continue
@@ -125,7 +125,7 @@
 	generation := n.process.generation
 	p.s.loop.after(platformLatency, func() {
 		n.process.deliver(generation, func() {
-			p.s.checks.leavingKnown(list)
+			p.s.checks.markLeavingMachines(list)
 			n.control(coordination.MachineList{Machines: list})
 		})
 	})
@@ -146,9 +146,9 @@
 
 // Put implements objectstore.Objects for operators.
 func (p *simPlatform) Put(_ context.Context, key string, value []byte, expected uint64) (uint64, error) {
-	if race := p.beforeWrite; race != nil {
+	if otherWrite := p.beforeWrite; otherWrite != nil {
 		p.beforeWrite = nil
-		race()
+		otherWrite()
 	}
 	if p.down || p.slow {
 		return 0, failure.New(failure.PlatformUnavailable, "the platform is down")
@@ -159,10 +159,10 @@
 	p.version++
 	p.objects[key] = objectstore.Object{Value: value, Version: p.version}
 	if key == objectstore.BundleKey {
-		p.wake()
+		p.answerWatches()
 	}
-	if p.loseAnswers > 0 {
-		p.loseAnswers--
+	if p.loseWriteAnswers > 0 {
+		p.loseWriteAnswers--
 		return 0, failure.New(failure.PlatformUnavailable, "the answer was lost")
 	}
 	return p.version, nil
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -32,7 +32,7 @@
 	trusted    []ed25519.PublicKey
 	// opened keeps verified bundles, so that a thousand hollow nodes don't
 	// parse the same bytes a thousand times.
-	opened        map[uint64]*bundle.Bundle
+	openedBundles map[uint64]*bundle.Bundle
 	lastPublished uint64
 }
 
@@ -42,14 +42,14 @@
 		options: options,
 		loop:    newLoop(options.Seed),
 		nodes:   map[string]*node{}, byAddress: map[string]*node{}, pools: map[string]*poolState{},
-		opened:     map[uint64]*bundle.Bundle{},
-		signingKey: ed25519.NewKeyFromSeed([]byte(strings.Repeat("s", ed25519.SeedSize))),
+		openedBundles: map[uint64]*bundle.Bundle{},
+		signingKey:    ed25519.NewKeyFromSeed([]byte(strings.Repeat("s", ed25519.SeedSize))),
 	}
 	s.loop.sink = options.Log
 	public, _ := s.signingKey.Public().(ed25519.PublicKey)
 	s.trusted = []ed25519.PublicKey{public}
 	s.network = &network{s: s, duplicate: options.Duplicate, reorder: options.Reorder}
-	s.platform = &simPlatform{s: s, objects: map[string]objectstore.Object{}, leaving: map[string]time.Time{}}
+	s.platform = &simPlatform{s: s, objects: map[string]objectstore.Object{}, leavingSince: map[string]time.Time{}}
 	s.operators = newOperators(s)
 	s.checks = newChecks(s)
 	s.measure = newMeasure(s)
@@ -63,14 +63,14 @@
 }
 
 // open verifies a bundle once for all nodes.
-func (s *Simulation) open(raw []byte) (*bundle.Bundle, error) {
+func (s *Simulation) openBundle(raw []byte) (*bundle.Bundle, error) {
 	digest := xxhash.Sum64(raw)
-	if known := s.opened[digest]; known != nil {
+	if known := s.openedBundles[digest]; known != nil {
 		return known, nil
 	}
 	opened, err := bundle.Open(raw, s.trusted)
 	if err == nil {
-		s.opened[digest] = opened
+		s.openedBundles[digest] = opened
 	}
 	return opened, err
 }
@@ -93,7 +93,7 @@
 		state := &poolState{s: s, pool: pool}
 		s.pools[pool.Name] = state
 		s.poolNames = append(s.poolNames, pool.Name)
-		for _, p := range size.layout()[pool.Name] {
+		for _, p := range size.placements()[pool.Name] {
 			n := s.add(p, membership.RoleAgent, seeds, newBackEnd(p.id, pool, capacity))
 			state.members = append(state.members, n)
 		}
@@ -104,7 +104,7 @@
 	return "router-" + string(rune('a'+index/26%26)) + string(rune('a'+index%26))
 }
 
-func (s *Simulation) add(p place, role membership.Role, seeds []string, backEnd *backEnd) *node {
+func (s *Simulation) add(p placement, role membership.Role, seeds []string, backEnd *backEnd) *node {
 	n := &node{
 		s:       s,
 		process: process{id: p.id, zone: p.zone, region: p.region},
@@ -130,22 +130,22 @@
 	for _, id := range s.ids {
 		s.nodes[id].start()
 	}
-	s.loop.every(checkPeriod, checkPeriod, s.checks.lookAtNodes)
+	s.loop.every(checkPeriod, checkPeriod, s.checks.checkNodes)
 	// The fleet comes up before the callers.
-	const comeUp = 10 * time.Second
-	s.loop.runUntil(epoch.Add(comeUp), never)
+	const startupTime = 10 * time.Second
+	s.loop.runUntil(epoch.Add(startupTime), neverStop)
 	s.callers.start()
-	s.loop.runUntil(epoch.Add(comeUp+s.options.Warmup), never)
+	s.loop.runUntil(epoch.Add(startupTime+s.options.Warmup), neverStop)
 	s.measure.start()
 	s.schedule(s.options.Faults)
-	s.loop.runUntil(epoch.Add(comeUp+s.options.Warmup+s.options.Duration), s.tooMany)
+	s.loop.runUntil(epoch.Add(startupTime+s.options.Warmup+s.options.Duration), s.tooManyViolations)
 	s.checks.finish()
 	return s.result()
 }
 
-func never() bool { return false }
+func neverStop() bool { return false }
 
 // tooMany ends a run that has broken promises many times over.
-func (s *Simulation) tooMany() bool {
+func (s *Simulation) tooManyViolations() bool {
 	return len(s.checks.violations) >= maxViolations
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -15,7 +15,7 @@
 )
 
 // failer is what the tests and rapid's have in common.
-type failer interface {
+type testFailer interface {
 	Helper()
 	Fatal(arguments ...any)
 }
@@ -27,7 +27,7 @@
 	}
 }
 
-func run(t failer, options Options) Result {
+func runSimulation(t testFailer, options Options) Result {
 	t.Helper()
 	s, err := New(options)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return s.Run()
 }
 
-func options(t testing.TB, scenario string, seed uint64) Options {
+func scenarioOptions(t testing.TB, scenario string, seed uint64) Options {
 	t.Helper()
 	chosen, ok := ScenarioByName(scenario)
 	if !ok {
@@ -50,7 +50,7 @@
 	return chosen.Options(seed, size, Policies()[0], duration)
 }
 
-func report(result Result) string {
+func formatReport(result Result) string {
 	var text strings.Builder
 	for _, violation := range result.Violations {
 		fmt.Fprintf(&text, "%s at %v: %s\n", violation.Promise, violation.At, violation.Detail)
@@ -59,16 +59,16 @@
 }
 
 // seedsOfCI is the fixed set of seeds that every scenario is run with.
-const seedsOfCI = 3
+const seedsPerScenario = 3
 
 func TestPromisesHoldInEveryScenario(t *testing.T) {
 	for _, scenario := range Scenarios() {
-		for seed := range uint64(seedsOfCI) {
+		for seed := range uint64(seedsPerScenario) {
 			t.Run(fmt.Sprint(scenario.Name, " seed ", seed+1), func(t *testing.T) {
 				t.Parallel()
-				result := run(t, options(t, scenario.Name, seed+1))
+				result := runSimulation(t, scenarioOptions(t, scenario.Name, seed+1))
 				if result.Broken() {
-					t.Fatalf("broken promises:\n%s", report(result))
+					t.Fatalf("broken promises:\n%s", formatReport(result))
 				}
 				if result.Served == 0 {
 					t.Fatal("nothing was served")
@@ -92,18 +92,18 @@
 
 // TestPromisesHoldUnderDrawnFaults lets rapid draw the fault schedule, and shrink
 // one that breaks a promise.
-func TestPromisesHoldUnderDrawnFaults(t *testing.T) {
+func TestPromisesHoldUnderRandomFaults(t *testing.T) {
 	const duration = 90 * time.Second
 	size, _ := SizeByName("small")
 	rapid.Check(t, func(t *rapid.T) {
 		faults := rapid.SliceOfN(drawFault(size, duration), 1, 8).Draw(t, "faults")
-		result := run(t, Options{
+		result := runSimulation(t, Options{
 			Seed: uint64(rapid.IntRange(1, 1000).Draw(t, "seed")), Size: size, Policy: Policies()[0],
 			Warmup: 20 * time.Second, Duration: duration, Faults: faults, ClockError: time.Second,
 			Duplicate: 0.01, Reorder: 0.01,
 		})
 		if result.Broken() {
-			t.Fatalf("broken promises:\n%s", report(result))
+			t.Fatalf("broken promises:\n%s", formatReport(result))
 		}
 	})
 }
@@ -113,49 +113,49 @@
 	var logs [2][]string
 	var results [2]Result
 	for i := range logs {
-		o := options(t, "everything", 7)
+		o := scenarioOptions(t, "everything", 7)
 		o.Log = func(line string) { logs[i] = append(logs[i], line) }
-		results[i] = run(t, o)
+		results[i] = runSimulation(t, o)
 	}
 	is.True(len(logs[0]) > 1000)
 	is.True(slices.Equal(logs[0], logs[1]))
 	is.Equal(results[0].Digest, results[1].Digest)
-	is.True(run(t, options(t, "everything", 8)).Digest != results[0].Digest)
+	is.True(runSimulation(t, scenarioOptions(t, "everything", 8)).Digest != results[0].Digest)
 }
 
 // breakCase says where a switched-off mechanism must be noticed.
-type breakCase struct {
+type mechanismCase struct {
 	scenario string
 	promise  string
 }
 
-var breakCases = map[Break]breakCase{
-	BreakBound:        {"steady", PromiseBound},
-	BreakKeys:         {"steady", PromiseOnce},
-	BreakKeyAge:       {"churn", PromiseOnce},
-	BreakLease:        {"ownership", PromiseOnce},
-	BreakLeaving:      {"platform-outage", PromiseLeaving},
-	BreakDrain:        {"churn", PromiseStop},
-	BreakBundleOrder:  {"partition", PromiseBundle},
-	BreakRetryUnknown: {"churn", PromiseOnce},
-	BreakThaw:         {"freeze", PromiseBound},
+var mechanismCases = map[Mechanism]mechanismCase{
+	MechanismBound:        {"steady", PromiseBound},
+	MechanismKeys:         {"steady", PromiseOnce},
+	MechanismKeyAge:       {"churn", PromiseOnce},
+	MechanismLease:        {"ownership", PromiseOnce},
+	MechanismLeaving:      {"platform-outage", PromiseLeaving},
+	MechanismDrain:        {"churn", PromiseStop},
+	MechanismBundleOrder:  {"partition", PromiseBundle},
+	MechanismRetryUnknown: {"churn", PromiseOnce},
+	MechanismThaw:         {"freeze", PromiseBound},
 }
 
 // TestEveryCheckerCanFail switches one mechanism off at a time: the checker of
 // the promise that it keeps must then find a violation.
-func TestEveryCheckerCanFail(t *testing.T) {
-	for _, name := range Breaks() {
+func TestDisabledMechanismBreaksItsPromise(t *testing.T) {
+	for _, name := range Mechanisms() {
 		t.Run(string(name), func(t *testing.T) {
 			t.Parallel()
-			c, known := breakCases[name]
+			c, known := mechanismCases[name]
 			if !known {
 				t.Fatal("no case for this mechanism")
 			}
 			const tries = 12
 			for seed := range uint64(tries) {
-				o := options(t, c.scenario, seed+1)
-				o.Break = name
-				if run(t, o).Counts[c.promise] > 0 {
+				o := scenarioOptions(t, c.scenario, seed+1)
+				o.Disabled = name
+				if runSimulation(t, o).Counts[c.promise] > 0 {
 					return
 				}
 			}
@@ -167,20 +167,20 @@
 // TestColdFleetTakesWorkWithRoom starts the callers' full traffic before a fleet
 // that has just come up. Pools fill from nothing, and must not refuse what they
 // have room for.
-func TestColdFleetTakesWorkWithRoom(t *testing.T) {
+func TestColdFleetServesRequestsWhilePoolsHaveRoom(t *testing.T) {
 	const allowed = 0.01
-	if refused := coldFleet(t, 1).RefusedWithRoom; refused > allowed {
+	if refused := runColdFleet(t, 1).RefusedWithRoom; refused > allowed {
 		t.Fatalf("%.1f%% of the requests were refused although their pool had room", 100*refused)
 	}
 }
 
 // TestColdFleetsTakeWorkWithRoomOnAverage is the same over more seeds, none of which may
 // break the bound for it.
-func TestColdFleetsTakeWorkWithRoomOnAverage(t *testing.T) {
+func TestColdFleetsServeRequestsWhilePoolsHaveRoomOnAverage(t *testing.T) {
 	const seeds, allowed = 12, 0.015
 	total := 0.0
 	for seed := range uint64(seeds) {
-		result := coldFleet(t, seed+1)
+		result := runColdFleet(t, seed+1)
 		total += result.RefusedWithRoom
 		if len(result.Violations) > 0 {
 			t.Fatalf("seed %d: %v", seed+1, result.Violations)
@@ -192,11 +192,11 @@
 }
 
 // coldFleet plays the first ten seconds of a fleet.
-func coldFleet(t *testing.T, seed uint64) Result {
+func runColdFleet(t *testing.T, seed uint64) Result {
 	t.Helper()
 	chosen, _ := ScenarioByName("steady")
 	size, _ := SizeByName("swan-coast")
 	o := chosen.Options(seed, size, Policies()[0], 10*time.Second)
 	o.Warmup = 100 * time.Millisecond
-	return run(t, o)
+	return runSimulation(t, o)
 }
--- a/internal/simulation/size.go
+++ b/internal/simulation/size.go
@@ -80,7 +80,7 @@
 const ownershipLease = 30 * time.Second
 
 // place is a back end's place in the bundle.
-type place struct {
+type placement struct {
 	id      string
 	address string
 	region  string
@@ -88,8 +88,8 @@
 }
 
 // layout names all back ends of a size, pool by pool.
-func (z Size) layout() map[string][]place {
-	pools := map[string][]place{}
+func (z Size) placements() map[string][]placement {
+	pools := map[string][]placement{}
 	for model := range z.Models {
 		name := poolName(model)
 		for i := range z.Engines {
@@ -107,9 +107,9 @@
 func poolName(model int) string { return fmt.Sprintf("model-%d", model) }
 
 // place spreads nodes evenly over the zones.
-func (z Size) place(id string, index, network int) place {
+func (z Size) place(id string, index, network int) placement {
 	zone := index % (z.Regions * z.Zones)
-	return place{
+	return placement{
 		id:      id,
 		address: fmt.Sprintf("10.%d.%d.%d:7300", network, index/200, index%200+1),
 		region:  fmt.Sprintf("r%d", zone/z.Zones),
@@ -119,28 +119,28 @@
 
 // document returns the bundle. without names back ends to leave out, leaving
 // those to withdraw.
-func (z Size) document(without, leaving map[string]bool, remark int) []byte {
+func (z Size) document(omitted, leaving map[string]bool, remark int) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, "# remark %d\nformat = 1\n[control]\nownership_lease = %q\nclock_error = \"1s\"\n", remark, ownershipLease)
 	for i := range z.Tenants {
 		fmt.Fprintf(&text, "[[tenants]]\nname = %q\nkey_sha256 = [%q]\n", tenantName(i), bundle.HashKey(tenantName(i)))
 	}
-	layout := z.layout()
+	layout := z.placements()
 	for model := range z.Models {
 		fmt.Fprintf(&text, "[[pools]]\nname = %q\nkind = \"engine\"\nmodels = [%q]\n", poolName(model), poolName(model))
 		fmt.Fprintf(&text, "load_multiple = %v\nrounding = %q\naffinity_wait = %q\nmax_running = %d\nmax_queued = 256\n", z.loadMultiple, z.rounding, z.affinityWait, z.maxRunning)
-		writeBackEnds(&text, layout[poolName(model)], without, leaving)
+		writeBackEnds(&text, layout[poolName(model)], omitted, leaving)
 	}
 	if z.Services > 0 {
 		fmt.Fprintf(&text, "[[pools]]\nname = %q\nkind = \"service\"\npath_prefix = \"/service/\"\nload_multiple = 2.0\nmax_queued = 256\n", servicePool)
-		writeBackEnds(&text, layout[servicePool], without, leaving)
+		writeBackEnds(&text, layout[servicePool], omitted, leaving)
 	}
 	return []byte(text.String())
 }
 
-func writeBackEnds(text *strings.Builder, places []place, without, leaving map[string]bool) {
+func writeBackEnds(text *strings.Builder, places []placement, omitted, leaving map[string]bool) {
 	for _, p := range places {
-		if !without[p.id] {
+		if !omitted[p.id] {
 			fmt.Fprintf(text, "[[pools.back_ends]]\nid = %q\nagent = %q\nregion = %q\nzone = %q\nleaving = %v\n", p.id, p.address, p.region, p.zone, leaving[p.id])
 		}
 	}
--- a/internal/simulation/sizes_test.go
+++ b/internal/simulation/sizes_test.go
@@ -17,9 +17,9 @@
 					t.Parallel()
 					chosen, _ := ScenarioByName(scenario)
 					size, _ := SizeByName(name)
-					result := run(t, chosen.Options(seed, size, Policies()[0], duration))
+					result := runSimulation(t, chosen.Options(seed, size, Policies()[0], duration))
 					if result.Broken() {
-						t.Fatalf("broken promises:\n%s", report(result))
+						t.Fatalf("broken promises:\n%s", formatReport(result))
 					}
 				})
 			}
--- a/internal/slo/recorder.go
+++ b/internal/slo/recorder.go
@@ -51,9 +51,9 @@
 
 // Latency histograms, in units of 100 µs up to ten minutes, with one digit.
 const (
-	histogramUnit = 100 * time.Microsecond
-	highestUnits  = int64(10 * time.Minute / histogramUnit)
-	digits        = 1
+	histogramUnit     = 100 * time.Microsecond
+	highestUnits      = int64(10 * time.Minute / histogramUnit)
+	significantDigits = 1
 )
 
 // poolLabels name a histogram; tenants share them to keep memory small.
@@ -81,8 +81,8 @@
 }
 
 // current returns the slot of the moment. The mutex is held.
-func (r *Recorder) current(now time.Time, labels Labels) *Counts {
-	start := now.Truncate(SlotLength)
+func (r *Recorder) slotAt(at time.Time, labels Labels) *Counts {
+	start := at.Truncate(SlotLength)
 	slots := r.counts[labels]
 	if count := len(slots); count > 0 && slots[count-1].Start.Equal(start) {
 		return &slots[count-1]
@@ -99,54 +99,54 @@
 	key := poolLabels{labels.Pool, labels.Priority}
 	if r.latencies[key] == nil {
 		r.latencies[key] = &latencies{
-			firstToken:    hdrhistogram.New(1, highestUnits, digits),
-			betweenTokens: hdrhistogram.New(1, highestUnits, digits),
+			firstToken:    hdrhistogram.New(1, highestUnits, significantDigits),
+			betweenTokens: hdrhistogram.New(1, highestUnits, significantDigits),
 		}
 	}
 	return r.latencies[key]
 }
 
 // Watch follows one request.
-type Watch struct {
+type Tracker struct {
 	recorder *Recorder
 	labels   Labels
 	targets  Targets
-	begun    time.Time
+	started  time.Time
 	first    time.Time
 	last     time.Time
-	pieces   int
+	chunks   int
 }
 
 // Begin follows a new request.
-func (r *Recorder) Begin(now time.Time, labels Labels, targets Targets) *Watch {
-	return &Watch{recorder: r, labels: labels, targets: targets, begun: now}
+func (r *Recorder) Begin(now time.Time, labels Labels, targets Targets) *Tracker {
+	return &Tracker{recorder: r, labels: labels, targets: targets, started: now}
 }
 
 // Piece notes that a piece of the answer came.
-func (w *Watch) Piece(now time.Time) {
-	if w.pieces == 0 {
-		w.first = now
+func (t *Tracker) Chunk(now time.Time) {
+	if t.chunks == 0 {
+		t.first = now
 	}
-	w.pieces++
-	w.last = now
+	t.chunks++
+	t.last = now
 }
 
 // Whole notes that the answer came whole.
-func (w *Watch) Whole() {
-	if w.pieces == 0 {
-		w.first = w.begun
+func (t *Tracker) Complete() {
+	if t.chunks == 0 {
+		t.first = t.started
 	}
-	toFirst := w.first.Sub(w.begun)
+	toFirst := t.first.Sub(t.started)
 	between := time.Duration(0)
-	if w.pieces > 1 {
-		between = w.last.Sub(w.first) / time.Duration(w.pieces-1)
+	if t.chunks > 1 {
+		between = t.last.Sub(t.first) / time.Duration(t.chunks-1)
 	}
-	w.recorder.mutex.Lock()
-	defer w.recorder.mutex.Unlock()
-	counts := w.recorder.current(w.begun, w.labels)
+	t.recorder.mutex.Lock()
+	defer t.recorder.mutex.Unlock()
+	counts := t.recorder.slotAt(t.started, t.labels)
 	counts.Answered++
-	slowFirst := toFirst > w.targets.FirstToken
-	slowBetween := between > w.targets.BetweenTokens
+	slowFirst := toFirst > t.targets.FirstToken
+	slowBetween := between > t.targets.BetweenTokens
 	if slowFirst {
 		counts.SlowFirst++
 	}
@@ -156,19 +156,19 @@
 	if slowFirst || slowBetween {
 		counts.Slow++
 	}
-	histograms := w.recorder.latenciesOf(w.labels)
+	histograms := t.recorder.latenciesOf(t.labels)
 	_ = histograms.firstToken.RecordValue(units(toFirst))
 	_ = histograms.betweenTokens.RecordValue(units(between))
 }
 
 // Failed notes that the request got no whole answer.
-func (w *Watch) Failed(kind failure.Kind) {
+func (t *Tracker) Failed(kind failure.Kind) {
 	if kind == failure.CallerGone {
 		return
 	}
-	w.recorder.mutex.Lock()
-	defer w.recorder.mutex.Unlock()
-	counts := w.recorder.current(w.begun, w.labels)
+	t.recorder.mutex.Lock()
+	defer t.recorder.mutex.Unlock()
+	counts := t.recorder.slotAt(t.started, t.labels)
 	if kind.Answer().Ran == failure.RanNo {
 		counts.Refused++
 		return
--- a/internal/slo/report.go
+++ b/internal/slo/report.go
@@ -43,11 +43,11 @@
 
 // Percentiles of one pool and priority, over all nodes.
 type Percentiles struct {
-	Pool              string
-	Priority          uint8
-	FirstTokenP95     time.Duration
-	BetweenTokensP95  time.Duration
-	AnsweredInAllTime int64
+	Pool             string
+	Priority         uint8
+	FirstTokenP95    time.Duration
+	BetweenTokensP95 time.Duration
+	TotalAnswered    int64
 }
 
 // Report merges what nodes handed out.
@@ -78,7 +78,7 @@
 			}
 			for _, slot := range series.Slots {
 				start := slot.Start.UTC()
-				merged[labels][start] = add(merged[labels][start], slot)
+				merged[labels][start] = addCounts(merged[labels][start], slot)
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 	return list
 }
 
-func add(a, b Counts) Counts {
+func addCounts(a, b Counts) Counts {
 	a.Answered += b.Answered
 	a.SlowFirst += b.SlowFirst
 	a.SlowBetween += b.SlowBetween
@@ -113,11 +113,11 @@
 		for _, slot := range series.Slots {
 			// A slot counts when any part of it lies in the window.
 			if slot.Start.Add(SlotLength).After(now.Add(-window)) {
-				total = add(total, slot)
+				total = addCounts(total, slot)
 			}
 		}
-		burn.Latency = append(burn.Latency, rate(total.Slow, total.Answered, goals.Fraction))
-		burn.Whole = append(burn.Whole, rate(total.Broken, total.Answered+total.Broken, goals.AnsweredWhole))
+		burn.Latency = append(burn.Latency, burnRate(total.Slow, total.Answered, goals.Fraction))
+		burn.Whole = append(burn.Whole, burnRate(total.Broken, total.Answered+total.Broken, goals.AnsweredWhole))
 		burn.Requests = total.Answered + total.Broken
 		burn.Refused = total.Refused
 	}
@@ -126,7 +126,7 @@
 }
 
 // rate is the share of bad requests over the share that the goal allows.
-func rate(bad, all int64, goal float64) float64 {
+func burnRate(bad, all int64, goal float64) float64 {
 	if all == 0 {
 		return 0
 	}
@@ -147,8 +147,8 @@
 
 // SlotBurn returns the faster burn of the two goals in one slot.
 func SlotBurn(goals Goals, slot Counts) float64 {
-	latency := rate(slot.Slow, slot.Answered, goals.Fraction)
-	whole := rate(slot.Broken, slot.Answered+slot.Broken, goals.AnsweredWhole)
+	latency := burnRate(slot.Slow, slot.Answered, goals.Fraction)
+	whole := burnRate(slot.Broken, slot.Answered+slot.Broken, goals.AnsweredWhole)
 	return max(latency, whole)
 }
 
@@ -169,9 +169,9 @@
 	for key, histograms := range merged {
 		list = append(list, Percentiles{
 			Pool: key.pool, Priority: key.priority,
-			FirstTokenP95:     time.Duration(histograms.firstToken.ValueAtQuantile(95)) * histogramUnit,
-			BetweenTokensP95:  time.Duration(histograms.betweenTokens.ValueAtQuantile(95)) * histogramUnit,
-			AnsweredInAllTime: histograms.firstToken.TotalCount(),
+			FirstTokenP95:    time.Duration(histograms.firstToken.ValueAtQuantile(95)) * histogramUnit,
+			BetweenTokensP95: time.Duration(histograms.betweenTokens.ValueAtQuantile(95)) * histogramUnit,
+			TotalAnswered:    histograms.firstToken.TotalCount(),
 		})
 	}
 	slices.SortFunc(list, func(a, b Percentiles) int {
--- a/internal/slo/slo_test.go
+++ b/internal/slo/slo_test.go
@@ -20,12 +20,12 @@
 func answer(r *Recorder, at time.Time, first, between time.Duration) {
 	w := r.Begin(at, labels, targets)
 	for i := range 3 {
-		w.Piece(at.Add(first + time.Duration(i)*between))
+		w.Chunk(at.Add(first + time.Duration(i)*between))
 	}
-	w.Whole()
+	w.Complete()
 }
 
-func TestBurnIsTheShareOfBadOverTheAllowed(t *testing.T) {
+func TestBurnIsBadShareOverAllowedShare(t *testing.T) {
 	is := is.New(t)
 	one, other := NewRecorder(), NewRecorder()
 	for i := range 10 {
@@ -40,7 +40,7 @@
 	is.Equal(report.Burns[0].Whole[0], 0.0)
 }
 
-func TestPercentileComesFromMergedHistograms(t *testing.T) {
+func TestPercentilesComeFromMergedHistograms(t *testing.T) {
 	is := is.New(t)
 	one, other := NewRecorder(), NewRecorder()
 	for range 90 {
@@ -52,10 +52,10 @@
 	report := Merge(start, goals, []Snapshot{one.Snapshot(), other.Snapshot()})
 	p95 := report.Percentiles[0].FirstTokenP95
 	is.True(p95 > 850*time.Millisecond && p95 < 950*time.Millisecond) // the mean of the two would be 500 ms
-	is.Equal(report.Percentiles[0].AnsweredInAllTime, int64(100))
+	is.Equal(report.Percentiles[0].TotalAnswered, int64(100))
 }
 
-func TestReportNamesWhoBurnsAndSinceWhen(t *testing.T) {
+func TestReportShowsBurningSeriesAndStart(t *testing.T) {
 	is := is.New(t)
 	r := NewRecorder()
 	answer(r, start, 0, time.Millisecond)
