--- a/internal/loadgen/loadgen.go
+++ b/internal/loadgen/loadgen.go
@@ -1,6 +1,5 @@
-// Package loadgen sends returning chats to a fleet and judges every answer: it
-// must be whole and the caller's own, or a clear error that says whether the
-// request ran.
+// Package loadgen sends the turns of chats to a fleet and checks every answer: it must be
+// whole and the caller's own, or an error that states whether the request ran.
 package loadgen
 
 import (
@@ -23,50 +22,53 @@
 	"github.com/harriernotch/harriernotch/internal/router/routerhttp"
 )
 
-// Config sets up a run.
+// Config configures a run.
 type Config struct {
-	// Targets are routers' base URLs; they must be on loopback.
+	// Targets are the base URLs of routers; they must be on loopback.
 	Targets []string
 	// Key is the tenant's bearer key.
 	Key string
-	// Model is the model to ask.
+	// Model is the requested model.
 	Model string
-	// Rate is the number of turns begun each second.
+	// Rate is the number of turns started per second.
 	Rate float64
 	// Chats is the number of chats that take turns.
 	Chats int
-	// Duration is how long turns are begun.
+	// Duration is the time during which turns are started.
 	Duration time.Duration
-	// StreamEvery streams every so-manieth turn; 0 streams none.
+	// StreamEvery makes every StreamEvery-th turn request a stream; 0 requests none.
 	StreamEvery int
-	// MaxTokens is the length of an answer.
+	// MaxTokens is the requested limit of an answer's length.
 	MaxTokens int
 }
 
-// Result counts what the callers saw.
+// Result counts the answers that the callers got.
 type Result struct {
-	// Whole answers came entire and were the caller's own.
+	// Whole counts the answers that were whole and the caller's own.
 	Whole int
-	// Broken answers began and were visibly cut.
+	// Broken counts the answers that began and were visibly cut off.
 	Broken int
-	// Failed counts clear errors by kind.
+	// Failed counts the errors that state whether the request ran, by their kind and by
+	// what they state.
 	Failed map[string]int
-	// Unclear answers are faults: mixed up, short but seemingly whole, or an
-	// error that doesn't say whether the request ran.
+	// Unclear counts the faults: answers that belong to another request or are too short
+	// but seem whole, errors that don't state whether the request ran, and requests
+	// without a response.
 	Unclear int
-	// Returning counts turns that brought a token, Reused those of them that
-	// found their context cached.
+	// Returning counts the turns with a chat token, Reused those of them whose answer was
+	// whole and reported cached tokens.
 	Returning int
 	Reused    int
-	// FirstByte is the time to the first byte of whole answers, in µs.
+	// FirstByte is the time until the response headers of whole answers, in µs.
 	FirstByte *hdrhistogram.Histogram
 	// Examples are a few of the unclear answers.
 	Examples []string
 }
 
+// maxExamples is the number of unclear answers that are kept as examples.
 const maxExamples = 5
 
-// CheckTargets refuses targets that aren't on loopback.
+// CheckTargets returns an error if a target isn't on loopback.
 func CheckTargets(targets []string) error {
 	for _, target := range targets {
 		parsed, err := url.Parse(target)
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// generator is one run.
+// generator is one run of the load generator.
 type generator struct {
 	config Config
 	client *http.Client
@@ -91,7 +93,7 @@
 	chats  []chatState
 }
 
-// chatState is one returning chat.
+// chatState is the state of one chat.
 type chatState struct {
 	busy     bool
 	token    string
@@ -104,8 +106,9 @@
 	Content string `json:"content"`
 }
 
-// Run begins turns at the rate until the duration or the context ends, and
-// waits for their answers.
+// Run starts turns at the rate until the duration or the context ends, and waits for their
+// answers. It starts none while every chat has a turn in flight. The end of the context
+// also cancels the turns in flight.
 func Run(ctx context.Context, config Config) Result {
 	const highestMicros = int64(10 * time.Minute / time.Microsecond)
 	g := &generator{
@@ -132,7 +135,8 @@
 	return g.result
 }
 
-// take picks a chat that has no turn under way.
+// reserveChat marks a chat without a turn in flight as busy and returns its index and state.
+// The index is -1 if there is none.
 func (g *generator) reserveChat(turn int) (int, chatState) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -158,7 +162,7 @@
 	g.recordTurn(index, chat, messages, prompt, got)
 }
 
-// seen is what came back for one turn.
+// answer is the response to one turn, or the error.
 type answer struct {
 	err       error
 	status    int
@@ -169,7 +173,7 @@
 	firstByte time.Duration
 }
 
-// chatBody is the request's JSON.
+// chatBody is the JSON body of a request.
 type chatBody struct {
 	Model     string    `json:"model"`
 	Stream    bool      `json:"stream"`
@@ -209,7 +213,7 @@
 	return got
 }
 
-// piece is an answer, or one event of a stream.
+// completion is a whole answer or one event of a stream.
 type completion struct {
 	Choices []struct {
 		Message *message `json:"message"`
@@ -262,7 +266,7 @@
 	a.err = scanner.Err()
 }
 
-// note judges the turn and puts the chat back.
+// recordTurn counts the answer to a turn and makes the chat available again.
 func (g *generator) recordTurn(index int, chat chatState, messages []message, prompt string, got answer) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/simulation/backend.go
+++ b/internal/simulation/backend.go
@@ -8,27 +8,29 @@
 	"github.com/harriernotch/harriernotch/internal/bundle"
 )
 
-// The modelled engine and service.
+// Times of the modelled engine and service.
 const (
 	prefillPerToken = 150 * time.Microsecond
 	decodePerToken  = 30 * time.Millisecond
-	// batchSlowdown is how much longer a token takes in a full batch.
+	// batchSlowdown is the additional time of a token in a full batch, as a share of
+	// decodePerToken.
 	batchSlowdown = 0.5
 	serviceMean   = 200 * time.Millisecond
 )
 
-// backEnd is a modelled engine or plain service. Its log of runs is what the
-// promises are checked against.
+// backEnd is a modelled engine or plain service. The promises are checked against its
+// record of runs.
 type backEnd struct {
 	id   string
 	pool string
 	kind bundle.PoolKind
-	// cache maps a chat to the tokens of its context that are cached.
+	// cache maps a chat to the number of cached tokens of its context.
 	cache    *simplelru.LRU[int, int]
 	cached   int
 	capacity int
 	running  int
-	// runs counts the runs of each request, keyed those of each key.
+	// runsByRequest counts the runs of each request, runsByKey those of each
+	// idempotency key.
 	runsByRequest map[string]int
 	runsByKey     map[string]int
 }
@@ -47,13 +49,14 @@
 	b.cache, _ = simplelru.NewLRU[int, int](unbounded, func(_, tokens int) { b.cached -= tokens })
 }
 
-// holds returns how many tokens of the chat's context are cached.
+// cachedTokens returns the number of cached tokens of the chat's context.
 func (b *backEnd) cachedTokens(chat int) int {
 	tokens, _ := b.cache.Get(chat)
 	return tokens
 }
 
-// store caches a chat's context and evicts the least recently used ones.
+// store caches a chat's context and evicts the least recently used contexts above the
+// capacity.
 func (b *backEnd) store(chat, tokens int) {
 	b.cache.Remove(chat)
 	b.cache.Add(chat, tokens)
@@ -63,14 +66,15 @@
 	}
 }
 
-// service is how long a run takes, and when its first token comes.
+// runTiming holds the time to a run's first token and its total time, and the number of
+// prompt tokens found in the cache.
 type runTiming struct {
 	firstToken time.Duration
 	total      time.Duration
 	cached     int
 }
 
-// begin runs a request.
+// startRun starts to run a request and returns its timing.
 func (b *backEnd) startRun(s *Simulation, r *request) runTiming {
 	b.running++
 	b.runsByRequest[r.id]++
@@ -88,7 +92,7 @@
 	return runTiming{firstToken: prefill + decodePerToken, total: prefill + decode, cached: cached}
 }
 
-// end ends a run; whole says that it came to its end.
+// endRun ends a run. If it completed, the chat's context with the answer is cached.
 func (b *backEnd) endRun(r *request, completed bool) {
 	b.running--
 	if completed && r.chat != nil {
--- a/internal/simulation/callers.go
+++ b/internal/simulation/callers.go
@@ -12,27 +12,29 @@
 	"github.com/harriernotch/harriernotch/internal/routing"
 )
 
-// The callers' habits.
+// The behavior of the callers.
 const (
 	chatTimeout    = 60 * time.Second
 	serviceTimeout = 10 * time.Second
-	// maxContext is the context length at which a chat begins anew, in tokens.
+	// maxContext is the context length, in tokens, above which a chat is replaced by a
+	// new one.
 	maxContext = 12000
-	// batchShare is the share of turns that are batch work.
+	// batchShare is the share of turns with batch priority.
 	batchShare = 0.1
-	// keyedShare is the share of plain calls with an idempotency key; of the
-	// rest half must not be repeated and half may.
+	// keyedShare is the share of service calls with an idempotency key. Callers don't
+	// repeat the others.
 	keyedShare = 0.6
-	// impatientShare is how many keyed calls are sent again, through whichever
-	// router, before the first attempt is answered.
+	// earlyRepeatShare is the share of keyed calls that are sent again, through any
+	// router, without waiting for the answer to the first request.
 	earlyRepeatShare = 0.2
-	// maxRepeats is how often a caller repeats a keyed call.
+	// maxRepeats is the number of repeats after which a caller gives up a keyed call.
 	maxRepeats = 4
-	// balancerLag is how late the balancer notices that a router isn't ready.
+	// balancerLag is the longest delay until the balancer notices that a router isn't
+	// ready.
 	balancerLag = time.Second
 )
 
-// chat is one returning chat.
+// chat is one chat, which sends turn after turn.
 type chat struct {
 	index         int
 	key           string
@@ -44,7 +46,7 @@
 	busy          bool
 }
 
-// caller is one piece of work: a chat's turn or a plain call, with its repeats.
+// call is one call of a caller, a chat's turn or a service call, with its repeats.
 type call struct {
 	s            *Simulation
 	name         string
@@ -59,14 +61,14 @@
 	priority     admission.Priority
 }
 
-// callers make the traffic.
+// callers generates the traffic.
 type callers struct {
 	s         *Simulation
 	chats     []*chat
 	weights   []float64
 	callCount int
-	// surge multiplies the rate; surgeTenant, if not negative, is the only
-	// tenant whose rate is multiplied.
+	// surge multiplies the rate of the chats' turns; surgeTenant, if not negative, is the
+	// only tenant whose rate is multiplied.
 	surge        float64
 	surgeTenant  int
 	readyRouters []*node
@@ -76,7 +78,7 @@
 	c := &callers{s: s, surge: 1, surgeTenant: -1}
 	total := 0.0
 	for i := range s.options.Size.Tenants {
-		total += 1 / float64(i+1) // a heavy tail: Zipf's law
+		total += 1 / float64(i+1) // heavy-tailed, by Zipf's law
 		c.weights = append(c.weights, total)
 	}
 	const expectedTurnTime = 6 * time.Second
@@ -90,19 +92,19 @@
 	return c
 }
 
-// drawTenant returns a tenant by weight.
+// drawTenant returns a random tenant by weight.
 func (c *callers) drawTenant() int {
 	at := c.s.loop.random.Float64() * c.weights[len(c.weights)-1]
 	index, _ := slices.BinarySearch(c.weights, at)
 	return min(index, len(c.weights)-1)
 }
 
-// logNormal returns a heavy-tailed length with the median.
+// logNormal returns a random value from the log-normal distribution with the median.
 func (c *callers) logNormal(median, sigma float64) float64 {
 	return median * math.Exp(sigma*c.s.loop.random.NormFloat64())
 }
 
-// start begins the traffic.
+// start starts the traffic.
 func (c *callers) start() {
 	c.s.loop.every(0, balancerLag, c.checkRouters)
 	for _, ch := range c.chats {
@@ -113,7 +115,7 @@
 	}
 }
 
-// lookAtRouters is the balancer's health check.
+// checkRouters is the balancer's health check of the routers.
 func (c *callers) checkRouters() {
 	c.readyRouters = c.readyRouters[:0]
 	for _, id := range c.s.ids {
@@ -124,12 +126,12 @@
 	}
 }
 
-// pickRouter returns a router as the balancer would, or nil.
+// pickRouter returns a router as the balancer does, or nil if none is found.
 func (c *callers) pickRouter() *node {
 	for range len(c.readyRouters) {
 		n := c.readyRouters[c.s.loop.random.IntN(len(c.readyRouters))]
 		if n.process.up {
-			return n // a refused connection is tried elsewhere at once
+			return n // after a refused connection, the balancer tries another router at once
 		}
 	}
 	return nil
@@ -140,14 +142,15 @@
 	if c.surgeTenant < 0 || c.surgeTenant == ch.tenant {
 		mean = time.Duration(float64(mean) / c.surge)
 	}
-	// Most chats come back soon, some after long: a mixture with this mean.
+	// Most pauses are short and some are long: a mixture of two exponential distributions
+	// with this mean.
 	if c.s.loop.random.Float64() < 0.8 {
 		return c.s.loop.exponential(mean / 2)
 	}
 	return c.s.loop.exponential(3 * mean)
 }
 
-// turn sends a chat's next turn.
+// startTurn sends a chat's next turn, unless one is in flight.
 func (c *callers) startTurn(ch *chat) {
 	if ch.busy {
 		return
@@ -174,14 +177,14 @@
 	return &call{s: c.s, name: fmt.Sprintf("w%d", c.callCount), tenant: tenant, pool: pool}
 }
 
-// nextService sends plain calls at random moments.
+// nextService schedules the next service call, at exponentially distributed intervals.
 func (c *callers) nextService() {
 	mean := time.Duration(float64(time.Second) / c.s.options.Size.ServiceRate)
 	c.s.loop.after(c.s.loop.exponential(mean), func() {
 		serviceCall := c.newCall(tenantName(c.drawTenant()), servicePool)
 		if c.s.loop.random.Float64() < keyedShare {
 			serviceCall.key = "key-" + serviceCall.name
-			// The caller's own clock is off too.
+			// The caller's clock has an error too.
 			serviceCall.keyIssued = c.s.loop.now.Add(c.s.loop.between(-c.s.options.ClockError/2, c.s.options.ClockError/2))
 		}
 		serviceCall.send()
@@ -192,7 +195,7 @@
 	})
 }
 
-// send makes one attempt of the work.
+// send sends the call to a router once.
 func (c *call) send() {
 	r := &request{
 		id: fmt.Sprintf("%s/%d", c.name, c.repeats), call: c, tenant: c.tenant, pool: c.pool, chat: c.chat,
@@ -220,7 +223,8 @@
 	})
 }
 
-// answered takes the final word on an attempt.
+// requestAnswered processes the outcome of one request of the call. It repeats an unserved
+// call that has an idempotency key, unless that has been repeated maxRepeats times.
 func (c *call) requestAnswered(r *request, o outcome) {
 	c.s.checks.checkOutcome(r, o)
 	c.s.measure.requestAnswered(r, o)
@@ -234,13 +238,14 @@
 	c.s.loop.after(max(o.wait, 500*time.Millisecond)+c.s.loop.exponential(time.Second), c.repeat)
 }
 
-// repeat sends the work again under its key.
+// repeat sends the call again with the same idempotency key.
 func (c *call) repeat() {
 	c.repeats++
 	c.send()
 }
 
-// chatAnswered plans a chat's next turn. A refused turn comes back when told.
+// chatAnswered schedules a chat's next turn. After a refusal with a retry time, the chat
+// waits at least that time.
 func (c *call) chatAnswered(r *request, o outcome) {
 	ch := c.chat
 	ch.busy = false
@@ -256,7 +261,8 @@
 	c.s.loop.after(wait, func() { c.s.callers.startTurn(ch) })
 }
 
-// sortedRequests returns requests in a fixed order.
+// sortedRequests returns the requests in the order of their IDs, so that runs are
+// reproducible.
 func sortedRequests(set map[*request]bool) []*request {
 	list := make([]*request, 0, len(set))
 	for r := range set {
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -9,7 +9,7 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// The promises, as they are named in reports.
+// The names of the promises in reports.
 const (
 	PromiseBound         = "load bound"
 	PromiseOwnAnswers    = "whole and own answers"
@@ -23,51 +23,56 @@
 )
 
 const (
-	// leavingWithin is how long after leaving is known anywhere an agent may
-	// still begin to take work.
+	// leavingGrace is the time after any node first knows that a machine is leaving,
+	// during which its agent may still accept requests.
 	leavingGrace = 5 * time.Second
-	// inForceWithin is how long a published bundle may take to be in force.
+	// inForceDeadline is the time within which a bundle must be in force on every node,
+	// from the moment when the first node has it.
 	inForceDeadline = 17 * time.Second
-	// heldAfter is the time in the system after which a request that ran
-	// nowhere and was never queued counts as held back: the longest wait at an
-	// owner, the longest wait for affinity and the attempts between them.
+	// maxHeldTime is the longest time that a request may be held before it is given up, if
+	// it ran nowhere and was never queued. It covers the longest wait at an owner, the
+	// longest wait for affinity and the attempts between them.
 	maxHeldTime = 10 * time.Second
 )
 
-// Violation is a broken promise.
+// Violation describes one broken promise.
 type Violation struct {
 	// Promise is the promise's name.
 	Promise string
-	// Detail says what happened.
+	// Detail describes what happened.
 	Detail string
-	// At is the time from the start.
+	// At is the time since the start of the simulation.
 	At time.Duration
 }
 
-// checks watches over the promises while a simulation runs.
+// checks verifies the promises while a simulation runs.
 type checks struct {
 	s          *Simulation
 	violations []Violation
 	counts     map[string]int
-	// boundStrict counts admissions above the bound by the mean of the same
-	// moment; admissions counts all.
+	// overBoundStrict counts the admissions above the bound by the mean load at the time
+	// of the admission; admissions counts all admissions.
 	overBoundStrict int
 	admissions      int
-	// disturbed is when a node last was hit by a fault.
+	// lastDisturbed is when a fault last began or ended at each node.
 	lastDisturbed map[string]time.Time
-	// unsettled is when a node's own state last changed: a fault of its own,
-	// not a cut between parts of the fleet.
+	// lastStateChange is the same for the faults of the node alone, without cuts between
+	// parts of the fleet.
 	lastStateChange map[string]time.Time
-	leavingSince    map[string]time.Time
-	inPlannedStop   bool
-	reportedNotRun  map[string]bool
+	// leavingSince is when each machine was first known to be leaving.
+	leavingSince map[string]time.Time
+	// inPlannedStop is set while a drained process ends.
+	inPlannedStop bool
+	// reportedNotRun holds the requests whose callers were told that they weren't run.
+	reportedNotRun map[string]bool
 }
 
 func newChecks(s *Simulation) *checks {
 	return &checks{s: s, counts: map[string]int{}, lastDisturbed: map[string]time.Time{}, lastStateChange: map[string]time.Time{}, leavingSince: map[string]time.Time{}, reportedNotRun: map[string]bool{}}
 }
 
-// maxViolations is how many violations are kept in full.
+// maxViolations is the number of violations that are kept with their details. The run
+// ends when it is reached.
 const maxViolations = 20
 
 func (c *checks) fail(promise, format string, arguments ...any) {
@@ -79,14 +84,15 @@
 	}
 }
 
-// boundWindows is the span of the promise, in the pool's windows: one for the
-// age to which a reported load counts, one for the time between two reports.
+// boundWindows is the number of the pool's windows over which the load bound is checked:
+// one for the age up to which a reported load counts, and one for the time between two
+// reports.
 const boundWindows = 2
 
-// admitted checks the load bound at an admission: the load, the new request
-// included, against the highest mean within the window; or, while the network
-// is cut and until the sides have heard of each other again, against the mean of
-// the members on the agent's side.
+// checkAdmission checks the load bound at an admission: the load, with the new request,
+// against the highest mean load within the window. While the network is cut, and for
+// settleTime after, until both sides have received updates from each other again, the
+// means over the members on the agent's side count too.
 func (c *checks) checkAdmission(n *node, load int) {
 	p := c.s.pools[n.backEnd.pool]
 	now := c.s.loop.now
@@ -99,14 +105,14 @@
 	highest := p.highest(n, now, window)
 	p.sample(now)
 	if c.s.options.Policy.unbounded {
-		return // a baseline that promises no bound; the share over it is reported
+		return // a baseline without a load bound; only the share of admissions over it is reported
 	}
 	if load > p.bound(highest) {
 		c.fail(PromiseBound, "%s took load %d over the bound %d (mean %.3f, highest in %v %.3f)", n.process.id, load, p.bound(highest), mean, window, highest)
 	}
 }
 
-// started checks a run at the moment it begins.
+// checkRun checks a run when it starts.
 func (c *checks) checkRun(n *node, a *attempt) {
 	r := a.request
 	if a.head.BackEnd != n.process.id || n.backEnd.pool != r.pool {
@@ -131,7 +137,7 @@
 	}
 }
 
-// runs counts how often the back ends began to run the request.
+// runs returns how often back ends started to run the request.
 func (c *checks) runs(r *request) int {
 	total := 0
 	for _, member := range c.s.pools[r.pool].members {
@@ -140,7 +146,7 @@
 	return total
 }
 
-// told checks what a caller is told.
+// checkOutcome checks the outcome that a caller receives.
 func (c *checks) checkOutcome(r *request, o outcome) {
 	runs := c.runs(r)
 	if o.served {
@@ -161,7 +167,8 @@
 	}
 }
 
-// gaveUp checks that a final refusal comes at once and with a time to come back.
+// checkGivenUp checks that a final refusal comes promptly, unless the request was queued or
+// a fault delayed it, and that it has a retry time if the caller may retry.
 func (c *checks) checkGivenUp(n *node, r *request, answer *failure.Error) {
 	row := answer.Kind.Answer()
 	if row.Retry && answer.RetryDelay() <= 0 {
@@ -169,21 +176,22 @@
 	}
 	wasQueued := answer.Kind == failure.DeadlineUnmeetable || answer.Kind == failure.QueueFull
 	held := c.s.loop.now.Sub(r.startedAt)
-	// A request that is at a paused process waits until that wakes.
+	// A request that a paused process holds waits until the process resumes.
 	if row.Ran == failure.RanNo && !wasQueued && held > maxHeldTime && !r.paused && !c.wasDisturbed(n, held) {
 		c.fail(PromisePromptRefusal, "%s was answered %v after %v", r.id, answer.Kind, held)
 	}
 }
 
-// cut checks that a request in flight isn't cut by a planned stop.
+// checkNotCut checks that a planned stop doesn't interrupt a request in flight.
 func (c *checks) checkNotCut(stopping *node, r *request) {
 	if c.inPlannedStop {
 		c.fail(PromiseStop, "the planned stop of %s cut %s", stopping.process.id, r.id)
 	}
 }
 
-// adopted checks that a node never goes back, not even across a restart. A
-// restarted node may look at an older bundle before it is ready; see ready.
+// checkAdopted checks that a ready node never adopts a bundle number lower than one that it
+// had in force, not even across a restart. A restarted node may hold an older bundle until
+// it is ready.
 func (c *checks) checkAdopted(n *node, number uint64) {
 	c.s.loop.log("%s adopts %d", n.process.id, number)
 	if _, known := n.adoptedAt[number]; !known {
@@ -197,12 +205,14 @@
 	}
 }
 
+// ready reports whether the node's process is up and its control plane is ready.
 func (n *node) ready() bool {
 	plane := n.plane()
 	return plane != nil && plane.Ready(n.clock())
 }
 
-// lookAtNodes checks every node's bundle now and then.
+// checkNodes checks that every node that is ready and not frozen has at least the highest
+// bundle number that it had in force before.
 func (c *checks) checkNodes() {
 	for _, id := range c.s.ids {
 		n := c.s.nodes[id]
@@ -217,9 +227,9 @@
 	}
 }
 
-// published plans the check that a bundle is in force everywhere in time. The
-// clock starts when the first node has it, since no node can read it while the
-// platform is away.
+// awaitPublished schedules the check that a bundle is in force on every node in time. The
+// time counts from when the first node has the bundle, since no node can read it while
+// the platform is down.
 func (c *checks) awaitPublished(b *bundle.Bundle) {
 	c.s.lastPublished = max(c.s.lastPublished, b.Number)
 	c.awaitFirstNode(b.Number)
@@ -248,8 +258,8 @@
 	}
 }
 
-// raced checks that of two racing operators exactly one wins and the other gets
-// a clear conflict.
+// checkRace checks that two operators who publish concurrently don't both succeed, and
+// that a failed one gets a conflict or learns that the platform is unavailable.
 func (c *checks) checkRace(first, second error) {
 	if first == nil && second == nil {
 		c.fail(PromiseBundle, "both racing operators were told that they won")
@@ -262,27 +272,27 @@
 	}
 }
 
-// disturb notes that a fault hits or leaves a node.
+// markDisturbed records that a fault begins or ends at a node.
 func (c *checks) markDisturbed(n *node) {
 	c.lastDisturbed[n.process.id] = c.s.loop.now
 	c.lastStateChange[n.process.id] = c.s.loop.now
 }
 
-// wasDisturbed tells whether a node was hit, or is still cut off, within the
-// span.
+// wasDisturbed reports whether a fault began or ended at the node within the time, or any
+// cut is active.
 func (c *checks) wasDisturbed(n *node, within time.Duration) bool {
 	at, hit := c.lastDisturbed[n.process.id]
 	return len(c.s.network.cuts) > 0 || hit && c.s.loop.now.Sub(at) <= within
 }
 
-// leavingSince notes that a node's leaving is known to itself.
+// markLeaving records that a node is known to be leaving, unless it is recorded already.
 func (c *checks) markLeaving(n *node) {
 	if _, known := c.leavingSince[n.process.id]; !known {
 		c.leavingSince[n.process.id] = c.s.loop.now
 	}
 }
 
-// leavingKnown notes the leaving machines that a node has just read of.
+// markLeavingMachines records the leaving machines of a list that a node has received.
 func (c *checks) markLeavingMachines(list []coordination.Machine) {
 	for _, machine := range list {
 		if machine.Leaving {
@@ -291,10 +301,12 @@
 	}
 }
 
+// restarted records that a node has restarted and is no longer leaving.
 func (c *checks) restarted(n *node) { delete(c.leavingSince, n.process.id) }
 
-// finish checks the attempts of the whole run: one for each request, the ratio of
-// the retry budget, and what the budgets had saved up.
+// finish checks the number of attempts after the warm-up. Allowed are one for each request,
+// the retry budget's ratio of 0.5 for each, and up to 50 saved-up retries in the budget of
+// every router and of every start of a router.
 func (c *checks) finish() {
 	m := c.s.measure
 	allowed := float64(m.requests)*1.5 + 50*float64(c.s.options.Size.Routers+m.routerStarts)
--- a/internal/simulation/exchange.go
+++ b/internal/simulation/exchange.go
@@ -10,7 +10,7 @@
 	"github.com/harriernotch/harriernotch/internal/routing"
 )
 
-// request is one attempt of a caller: one HTTP request to one router.
+// request is one HTTP request of a caller to one router.
 type request struct {
 	id           string
 	call         *call
@@ -20,7 +20,7 @@
 	promptTokens int
 	outputTokens int
 	priority     admission.Priority
-	// key is the idempotency key and issued its time by the caller's clock.
+	// key is the idempotency key, keyIssued its time of issue by the caller's clock.
 	key       string
 	keyIssued time.Time
 	startedAt time.Time
@@ -30,11 +30,11 @@
 	exchange *router.Exchange
 	current  *attempt
 	done     bool
-	// paused says that the request was held by a frozen process.
+	// paused reports that a frozen process held the request.
 	paused bool
 }
 
-// attempt is one request from a router to an agent.
+// attempt is one attempt of a request, from a router to an agent.
 type attempt struct {
 	request          *request
 	router           *node
@@ -46,15 +46,15 @@
 	arrived          bool
 	arrivedAt        time.Time
 	started          bool
-	// answering is set once the answer has begun, ended once the run is over.
+	// answering is set when the answer begins, ended when the run ends.
 	answering bool
 	ended     bool
-	// abandoned is set once the router no longer waits.
+	// abandoned is set when the router no longer waits for the attempt.
 	abandoned bool
 	timing    runTiming
 }
 
-// begin takes a caller's request at a router.
+// beginRequest passes a caller's request to the router's core.
 func (n *node) beginRequest(r *request) {
 	n.exchanges[r] = true
 	r.router = n
@@ -85,7 +85,7 @@
 	return r.chat.token
 }
 
-// deadlinePassed gives up a request whose answer hasn't begun.
+// deadlinePassed abandons the current attempt of a request unless its answer has begun.
 func (n *node) deadlinePassed(r *request) {
 	a := r.current
 	if r.done || a == nil || a.abandoned || a.answering {
@@ -96,7 +96,7 @@
 	n.applyDecision(r, n.router.ConnectionLost(n.clock(), r.exchange))
 }
 
-// follow carries out a router's decision.
+// applyDecision performs a router's decision: it gives the request up or sends an attempt.
 func (n *node) applyDecision(r *request, decision router.Decision) {
 	if decision.GiveUp != nil {
 		n.s.measure.requestGivenUp(n, r, decision.GiveUp.Kind)
@@ -107,7 +107,7 @@
 	n.dispatch(r, decision.Send)
 }
 
-// dispatch sends one attempt on its way.
+// dispatch sends one attempt to its agent.
 func (n *node) dispatch(r *request, send *router.Send) {
 	target := n.s.nodes[send.BackEnd]
 	a := &attempt{request: r, router: n, routerGeneration: n.process.generation, agent: target, agentGeneration: target.process.generation, head: send.Head}
@@ -126,14 +126,15 @@
 			r.paused = r.paused || target.process.frozen
 			target.process.deliver(a.agentGeneration, func() { target.attemptArrived(a) })
 			if !target.process.up || target.process.generation != a.agentGeneration {
-				n.afterDelay(a, oneWay, n.connectionLost) // it died while the request was on its way
+				n.afterDelay(a, oneWay, n.connectionLost) // the agent ended while the attempt was on its way
 			}
 		})
 	}
 }
 
-// intoCut loses an attempt in a cut: a new connection can't be made, while an
-// old one takes the request and is found dead later.
+// dispatchIntoCut loses an attempt that a cut blocks. A new connection can't be made, while
+// an existing one accepts the request and is found dead later; each case has a
+// probability of one half.
 func (n *node) dispatchIntoCut(a *attempt) {
 	if n.s.loop.random.IntN(2) == 0 {
 		n.afterDelay(a, dialTimeout, n.notSent)
@@ -142,7 +143,8 @@
 	n.afterDelay(a, keepAliveTimeout, n.connectionLost)
 }
 
-// later lets something happen to an attempt at its router.
+// afterDelay calls handle for an attempt at its router after a delay, unless the attempt
+// is abandoned or the request done by then.
 func (n *node) afterDelay(a *attempt, wait time.Duration, handle func(*attempt)) {
 	n.s.loop.after(wait, func() {
 		n.process.deliver(a.routerGeneration, func() {
@@ -164,7 +166,7 @@
 	n.applyDecision(a.request, n.router.ConnectionLost(n.clock(), a.request.exchange))
 }
 
-// arrive takes an attempt at its agent.
+// attemptArrived passes an attempt to its agent's core.
 func (n *node) attemptArrived(a *attempt) {
 	n.lastID++
 	a.id = n.lastID
@@ -173,7 +175,7 @@
 	n.pending[a.id] = a
 	n.perform(n.agent.Arrive(n.clock(), a.id, a.head))
 	if a.abandoned {
-		n.s.disconnect(a) // the router has gone; the agent notices a moment later
+		n.s.disconnect(a) // the router no longer waits; the agent notices a moment later
 	}
 }
 
@@ -200,7 +202,7 @@
 	})
 }
 
-// finishAttempt ends a run and sends its answer.
+// finishAttempt reports the end of a run to the agent's core and sends the answer.
 func (n *node) finishAttempt(a *attempt) {
 	delete(n.pending, a.id)
 	n.perform(n.agent.Finished(n.clock(), admission.Finished{ID: a.id, Outcome: admission.Outcome{Known: true}}))
@@ -220,7 +222,7 @@
 	n.reply(a, n.agent.Reply(n.clock(), nil))
 }
 
-// reply sends an answer back to the router. A cut holds it up until the
+// reply sends an answer back to the router. A cut delays it until the cut ends or the
 // connection is found dead.
 func (n *node) reply(a *attempt, reply hop.Reply) {
 	latency := n.s.network.latency(&n.process, &a.router.process)
@@ -251,7 +253,7 @@
 	})
 }
 
-// replied takes an agent's reply at the router.
+// replyReceived passes an agent's reply to the router's core.
 func (n *node) replyReceived(a *attempt, reply hop.Reply) {
 	a.abandoned = true
 	r := a.request
@@ -268,7 +270,7 @@
 	n.answer(r, o)
 }
 
-// outcome is what a caller is told.
+// outcome is the outcome of a request as its caller receives it.
 type outcome struct {
 	served  bool
 	kind    failure.Kind
@@ -286,7 +288,7 @@
 	return o.kind.String()
 }
 
-// answer ends a request at its router.
+// answer ends a request at its router and sends the outcome to the caller.
 func (n *node) answer(r *request, o outcome) {
 	if r.done {
 		n.s.checks.fail("whole and own answers", "request %s got two answers", r.id)
@@ -295,13 +297,14 @@
 	r.done = true
 	delete(n.exchanges, r)
 	n.s.loop.log("%s answers %s: %s after %d attempts", n.process.id, r.id, o, r.exchange.Attempts())
-	// The request itself is kept until its deadline; its route is large.
+	// The timer of the deadline still references the request; the exchange is released
+	// now, because its route is large.
 	r.exchange = nil
 	n.s.loop.after(callerLatency, func() { r.call.requestAnswered(r, o) })
 }
 
-// disconnect tells the agent that the router no longer waits: what is not keyed
-// is cancelled.
+// disconnect informs the agent that the router no longer waits for an attempt. The agent
+// cancels the attempt, unless it runs under an idempotency key.
 func (s *Simulation) disconnect(a *attempt) {
 	n := a.agent
 	s.loop.after(s.network.latency(&a.router.process, &n.process), func() {
@@ -327,7 +330,7 @@
 	n.perform(n.agent.Finished(n.clock(), admission.Finished{ID: a.id}))
 }
 
-// loseRouter breaks the requests that a dead router had under way.
+// failRouterRequests fails the requests that a stopped router had in flight.
 func (s *Simulation) failRouterRequests(n *node) {
 	for _, r := range sortedRequests(n.exchanges) {
 		r.done = true
@@ -341,7 +344,8 @@
 	n.exchanges = nil
 }
 
-// loseAgent breaks the requests that a dead agent held.
+// failAgentAttempts fails the attempts that a stopped agent held. If its machine is down
+// too, the routers notice only after keepAliveTimeout, and the engine's cache is lost.
 func (s *Simulation) failAgentAttempts(n *node, withMachine bool) {
 	for id := admission.RequestID(1); id <= n.lastID; id++ {
 		a := n.pending[id]
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -8,48 +8,48 @@
 	"github.com/harriernotch/harriernotch/internal/membership"
 )
 
-// FaultKind names a fault.
+// FaultKind is a kind of fault.
 type FaultKind uint8
 
-// The faults.
+// The kinds of faults.
 const (
-	// FaultKill ends a process at once and starts it again after Span.
+	// FaultKill kills a process and restarts it after Span.
 	FaultKill FaultKind = iota
-	// FaultMachine loses a machine with its back end's cache; it returns after
-	// Span.
+	// FaultMachine takes down a machine, which loses its back end's cache; it restarts
+	// after Span.
 	FaultMachine
 	// FaultFreeze pauses a process for Span.
 	FaultFreeze
-	// FaultStop stops a process as planned and starts it again after Span.
+	// FaultStop drains and stops a process as planned and restarts it after Span.
 	FaultStop
-	// FaultCut cuts a node off from all others for Span.
+	// FaultCut cuts a node off from all others and from the platform for Span.
 	FaultCut
-	// FaultCutOneWay cuts what a node sends for Span.
+	// FaultCutOneWay blocks what a node sends to the other nodes for Span.
 	FaultCutOneWay
-	// FaultRegions cuts the regions, or the first zone where there is one
-	// region, from the others for Span.
+	// FaultRegions cuts the first region, or the first zone where there is only one
+	// region, off from the others and from the platform for Span.
 	FaultRegions
-	// FaultPlatformDown takes the platform away for Span.
+	// FaultPlatformDown makes the platform unavailable for Span.
 	FaultPlatformDown
-	// FaultPlatformSlow slows the platform for Span.
+	// FaultPlatformSlow makes the platform so slow that calls time out, for Span.
 	FaultPlatformSlow
-	// FaultLoseAnswer loses the answer of the next write.
+	// FaultLoseAnswer loses the answer to the next write on the platform.
 	FaultLoseAnswer
 	// FaultPublish publishes a bundle.
 	FaultPublish
-	// FaultRace lets two operators publish at once.
+	// FaultRace lets two operators publish concurrently.
 	FaultRace
-	// FaultMembers publishes a bundle without one back end, and one with it
-	// again after Span.
+	// FaultMembers publishes a bundle without one back end, and after Span one with it
+	// again.
 	FaultMembers
-	// FaultWithdraw puts a node on the machine list as leaving; it is replaced
-	// after Span.
+	// FaultWithdraw marks a node as leaving in the machine list; it is drained and
+	// restarted after Span.
 	FaultWithdraw
-	// FaultClock puts a machine's clock off.
+	// FaultClock sets a machine's clock to a new random error.
 	FaultClock
-	// FaultSurge multiplies the traffic for Span.
+	// FaultSurge multiplies the chats' traffic for Span.
 	FaultSurge
-	// FaultTenantSurge multiplies the largest tenant's traffic for Span.
+	// FaultTenantSurge multiplies the chats' traffic of the largest tenant for Span.
 	FaultTenantSurge
 
 	faultKinds
@@ -63,15 +63,15 @@
 // String returns the fault's name.
 func (k FaultKind) String() string { return faultNames[k] }
 
-// Fault is something that goes wrong at a moment.
+// Fault is one fault of a run.
 type Fault struct {
-	// At is the time from the start.
+	// At is the time since the end of the warm-up.
 	At time.Duration
-	// Kind says what.
+	// Kind is the kind of fault.
 	Kind FaultKind
-	// Target picks the node: its index among all nodes, modulo their number.
+	// Target selects the node: its index among all nodes, modulo their number.
 	Target int
-	// Span is how long it lasts.
+	// Span is the duration of the fault.
 	Span time.Duration
 }
 
@@ -80,14 +80,14 @@
 	return fmt.Sprintf("%v %v target %d for %v", f.At, f.Kind, f.Target, f.Span)
 }
 
-// schedule plans the faults.
+// schedule schedules the faults.
 func (s *Simulation) schedule(faults []Fault) {
 	for _, fault := range faults {
 		s.loop.after(fault.At, func() { s.injectFault(fault) })
 	}
 }
 
-// strike lets a fault happen.
+// injectFault makes a fault take effect.
 func (s *Simulation) injectFault(fault Fault) {
 	target := s.nodes[s.ids[fault.Target%len(s.ids)]]
 	s.loop.log("fault %v %s for %v", fault.Kind, target.process.id, fault.Span)
@@ -127,6 +127,7 @@
 	}
 }
 
+// kill stops a process without warning and restarts it after the span, at least a second.
 func (s *Simulation) kill(n *node, withMachine bool, span time.Duration) {
 	if !n.process.up {
 		return
@@ -169,8 +170,8 @@
 	})
 }
 
-// stopPlanned drains a process as its SIGTERM does: it leaves, waits for the
-// work in flight, then ends.
+// stopPlanned drains a process as SIGTERM does: the process announces that it leaves, waits
+// for the requests in flight, and then ends.
 func (s *Simulation) stopPlanned(n *node, span time.Duration) {
 	if !n.process.up || n.process.frozen {
 		return
@@ -185,8 +186,8 @@
 	s.awaitDrained(n, n.process.generation, s.loop.now.Add(balancerLag+time.Second), span)
 }
 
-// awaitDrained ends the process once nothing is in flight, and no earlier than
-// the balancer has noticed.
+// awaitDrained ends the process when nothing is in flight, but not before earliest, when
+// the balancer has noticed that it drains.
 func (s *Simulation) awaitDrained(n *node, generation int, earliest time.Time, span time.Duration) {
 	if !n.process.up || n.process.generation != generation {
 		return
@@ -205,7 +206,7 @@
 	s.loop.after(max(span, time.Second), func() { s.restart(n) })
 }
 
-// cutOff cuts traffic for a while.
+// cutTraffic applies one of the cut faults and removes it after its span.
 func (s *Simulation) cutTraffic(target *node, fault Fault) {
 	isTarget := func(p *process) bool { return p == &target.process }
 	isOther := func(p *process) bool { return p != &target.process }
@@ -231,8 +232,8 @@
 	})
 }
 
-// cutFromPlatform takes the platform from a node that is cut off, or from the
-// part of the fleet that is: the platform is on the other side.
+// cutFromPlatform sets whether the node or the part of the fleet that is cut off can reach
+// the platform, which is on the other side of the cut.
 func (s *Simulation) cutFromPlatform(kind FaultKind, target *node, isCut bool) {
 	if kind == FaultCut {
 		target.platformCut = isCut
@@ -248,13 +249,15 @@
 	}
 }
 
-// firstPart returns tests for the first region and the rest, or for the first
-// zone where there is one region.
+// partitionSides returns predicates for the two sides of a partition: the first region, or
+// the first zone where there is only one region, and the rest.
 func (s *Simulation) partitionSides() (inside, outside func(*process) bool) {
 	inside = func(p *process) bool { return p.region == "r0" && (s.options.Size.Regions > 1 || p.zone == "r0z0") }
 	return inside, func(p *process) bool { return !inside(p) }
 }
 
+// markCutNodes records that a cut begins or ends: for the target, or for all nodes if it
+// divides the fleet.
 func (s *Simulation) markCutNodes(kind FaultKind, target *node) {
 	if kind != FaultRegions {
 		s.checks.markDisturbed(target)
@@ -265,7 +268,7 @@
 	}
 }
 
-// changeMembers drops a back end from the bundle and brings it back.
+// changeMembers publishes a bundle without a back end, and later one with it again.
 func (s *Simulation) changeMembers(target *node, span time.Duration) {
 	if target.isRouter() || s.operators.omitted[target.process.id] {
 		return
@@ -275,11 +278,14 @@
 	s.loop.after(max(span, 5*time.Second), func() {
 		delete(s.operators.omitted, target.process.id)
 		s.operators.publish()
-		// An agent that left the bundle takes no work until it is restarted.
+		// An agent that was removed from the bundle accepts no requests until it is
+		// restarted.
 		s.loop.after(10*time.Second, func() { s.stopPlanned(target, time.Second) })
 	})
 }
 
+// listAsLeaving marks a node as leaving in the machine list, and drains and restarts it
+// after the span, at least 20 seconds.
 func (s *Simulation) listAsLeaving(n *node, span time.Duration) {
 	if _, already := s.platform.leavingSince[n.process.id]; already || !n.process.up {
 		return
@@ -288,16 +294,19 @@
 	s.loop.after(max(span, 20*time.Second), func() { s.stopPlanned(n, time.Second) })
 }
 
-// surgeFactor is how much a surge multiplies the traffic.
+// surgeFactor multiplies the traffic during a surge of all tenants.
 const surgeFactor = 3
 
+// surge multiplies the chats' traffic of one tenant, or of all if tenant is negative, for
+// the span.
 func (s *Simulation) surge(tenant int, span time.Duration) {
 	s.callers.surge, s.callers.surgeTenant = surgeFactor, tenant
 	if tenant >= 0 {
 		s.callers.surge = 10
 	}
 	s.loop.after(span, func() { s.callers.surge, s.callers.surgeTenant = 1, -1 })
-	// Chats that pause now come back sooner.
+	// Half of the pausing chats get an additional turn in the first half of the surge; the
+	// turn that is scheduled for the end of the pause stays scheduled.
 	for _, ch := range s.callers.chats {
 		if !ch.busy && (tenant < 0 || ch.tenant == tenant) && s.loop.random.IntN(2) == 0 {
 			s.loop.after(s.loop.between(0, span/2), func() { s.callers.startTurn(ch) })
--- a/internal/simulation/known_seeds_test.go
+++ b/internal/simulation/known_seeds_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// runWhole plays a scenario at its own length.
+// runFullLength runs a scenario for its own duration.
 func runFullLength(t *testing.T, scenario string, seed uint64) {
 	t.Helper()
 	chosen, ok := ScenarioByName(scenario)
@@ -16,8 +16,12 @@
 	}
 }
 
-// Found beyond the fixed seeds: s-001 took load 5 over the bound 4 at 285.832 s.
+// TestLoadBoundHoldsInFreezeSeed770431 runs a seed beyond those of
+// TestPromisesHoldInEveryScenario. The failure that it guards against: s-001 takes load 5
+// over the bound 4 at 285.832 s.
 func TestLoadBoundHoldsInFreezeSeed770431(t *testing.T) { runFullLength(t, "freeze", 770431) }
 
-// Found beyond the fixed seeds: e0-004 took load 9 over the bound 8 at 203.806 s.
+// TestLoadBoundHoldsInPartitionSeed424201 runs a seed beyond those of
+// TestPromisesHoldInEveryScenario. The failure that it guards against: e0-004 takes load 9
+// over the bound 8 at 203.806 s.
 func TestLoadBoundHoldsInPartitionSeed424201(t *testing.T) { runFullLength(t, "partition", 424201) }
--- a/internal/simulation/loop.go
+++ b/internal/simulation/loop.go
@@ -1,6 +1,6 @@
-// Package simulation runs the cores of a whole fleet in one seeded event loop on
-// a virtual clock, with modelled engines, platform, network and callers. It
-// holds no rule of the system: routers and agents are the daemon's own cores.
+// Package simulation runs a whole fleet in one seeded event loop on a virtual clock.
+// Routers and agents are the daemon's own cores, so the package implements none of the
+// system's rules; the engines, the platform, the network and the callers are models.
 package simulation
 
 import (
@@ -12,15 +12,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// event is something that happens at a moment. Events of one moment happen in
-// the order in which they were scheduled.
+// event is a function scheduled for a point in virtual time. Events with the same time
+// run in the order in which they were scheduled.
 type event struct {
 	at       time.Time
 	sequence uint64
 	run      func()
 }
 
-// eventHeap is a heap of events by time and sequence.
+// eventHeap is a min-heap of events, ordered by time and then by sequence.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -47,10 +47,11 @@
 	return last
 }
 
-// keptLines is how many lines of the log are kept to show at a violation.
+// recentLineLimit is the number of the latest log lines that are kept for the report of
+// a violation.
 const recentLineLimit = 40
 
-// loop is the event loop with its clock, its random source and its log.
+// loop is the event loop with its clock, random source and event log.
 type loop struct {
 	now         time.Time
 	started     time.Time
@@ -63,7 +64,7 @@
 	sink        func(string)
 }
 
-// epoch is when every simulation begins.
+// epoch is the virtual time at which every simulation starts.
 var epoch = time.Unix(1_800_000_000, 0)
 
 func newLoop(seed uint64) *loop {
@@ -75,14 +76,13 @@
 	}
 }
 
-// after schedules run in so long.
+// after schedules run after a delay; a negative delay counts as none.
 func (l *loop) after(wait time.Duration, run func()) {
 	l.sequence++
 	heap.Push(&l.events, event{at: l.now.Add(max(0, wait)), sequence: l.sequence, run: run})
 }
 
-// every schedules run again and again, the first time after a part of the
-// period.
+// every schedules run periodically: first after the delay first, then once per period.
 func (l *loop) every(first, period time.Duration, run func()) {
 	l.after(first, func() {
 		run()
@@ -90,7 +90,8 @@
 	})
 }
 
-// runUntil runs events up to the end, or until stop says so.
+// runUntil runs the events up to end, or until stop returns true, and leaves the clock
+// at end in both cases.
 func (l *loop) runUntil(end time.Time, stop func() bool) {
 	for len(l.events) > 0 && !l.events[0].at.After(end) && !stop() {
 		next, ok := heap.Pop(&l.events).(event)
@@ -105,8 +106,8 @@
 	}
 }
 
-// log writes a line into the event log, whose digest shows that two runs were
-// the same, and keeps the last lines.
+// log adds a line to the event log and to its digest, by which two runs can be compared,
+// and keeps the latest lines.
 func (l *loop) log(format string, arguments ...any) {
 	line := fmt.Sprintf("%10.3f ", l.now.Sub(l.started).Seconds()) + fmt.Sprintf(format, arguments...)
 	_, _ = l.digest.WriteString(line + "\n")
@@ -120,12 +121,12 @@
 	l.recentLines = append(l.recentLines, line)
 }
 
-// exponential returns a random span with the mean.
+// exponential returns a random duration from the exponential distribution with the mean.
 func (l *loop) exponential(mean time.Duration) time.Duration {
 	return time.Duration(l.random.ExpFloat64() * float64(mean))
 }
 
-// between returns a random span from low to high.
+// between returns a uniformly distributed random duration from low to high.
 func (l *loop) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(l.random.Float64()*float64(high-low))
 }
--- a/internal/simulation/measure.go
+++ b/internal/simulation/measure.go
@@ -12,8 +12,8 @@
 	"github.com/harriernotch/harriernotch/internal/hop"
 )
 
-// measure counts what the fleet does. The first part of a run warms up the
-// caches and isn't counted.
+// measure collects the measurements of a run. The first part of a run, the warm-up, only
+// fills the caches and isn't counted.
 type measure struct {
 	s        *Simulation
 	counting bool
@@ -25,8 +25,8 @@
 	refusals     map[failure.Kind]int
 	givenUp      map[failure.Kind]int
 	served       int
-	// finalsWithRoom counts requests that were finally refused while a member
-	// of their pool had room.
+	// givenUpWithRoom counts the requests without a key that were finally refused for
+	// lack of room although a member of their pool had room.
 	givenUpWithRoom int
 	returningTurns  int
 	reusedTurns     int
@@ -42,13 +42,14 @@
 	skew           []skewSample
 }
 
-// traffic is a node's control traffic.
+// traffic is the control traffic of one node in one direction.
 type traffic struct {
 	messages int
 	bytes    int
 }
 
-// skewSample is the spread of load over one pool at one moment.
+// skewSample is the load skew of one pool at one time: the highest and the 99th percentile
+// load, as multiples of the mean.
 type skewSample struct {
 	peak float64
 	p99  float64
@@ -64,14 +65,14 @@
 	}
 }
 
-// start begins to count.
+// start starts the measurements.
 func (m *measure) start() {
 	m.counting = true
 	m.from = m.s.loop.now
 	m.s.loop.every(time.Second, time.Second, m.sampleSkew)
 }
 
-// frameOverhead is what a WebSocket frame adds to a message, in bytes.
+// frameOverhead is the overhead of a WebSocket frame, in bytes.
 const frameOverhead = 6
 
 func (m *measure) controlSent(n *node, message coordination.Message) int {
@@ -110,7 +111,7 @@
 	}
 }
 
-// base64Growth is how much longer a header gets by its encoding.
+// base64Growth is the factor by which base64 lengthens a header.
 const base64Growth = 4.0 / 3
 
 func (m *measure) attemptSent(head hop.Head) {
@@ -129,7 +130,7 @@
 	}
 }
 
-// fullKinds are the refusals that mean that the pool had no room.
+// fullKinds are the failures that mean that the pool had no room.
 var fullKinds = []failure.Kind{failure.OverBound, failure.QueueFull, failure.PoolExhausted}
 
 func (m *measure) requestGivenUp(n *node, r *request, kind failure.Kind) {
@@ -142,8 +143,8 @@
 	}
 }
 
-// started notes reuse: a returning turn finds its context cached if most of the
-// context it had is there.
+// runStarted counts the reuse of cached contexts. A returning turn counts as reused if the
+// whole context of the chat's earlier turns is cached.
 func (m *measure) runStarted(a *attempt) {
 	r := a.request
 	if !m.counting || r.chat == nil || r.chat.turns == 0 {
@@ -168,7 +169,7 @@
 	}
 }
 
-// sampleSkew notes the spread of load in every engine pool.
+// sampleSkew records the load skew of every engine pool.
 func (m *measure) sampleSkew() {
 	for _, name := range m.s.poolNames {
 		p := m.s.pools[name]
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -7,22 +7,24 @@
 	"github.com/harriernotch/harriernotch/internal/coordination"
 )
 
-// Latencies of one way.
+// One-way latencies and connection timeouts.
 const (
 	latencyInZone         = 300 * time.Microsecond
 	latencyBetweenZones   = 1500 * time.Microsecond
 	latencyBetweenRegions = 30 * time.Millisecond
 	callerLatency         = 4 * time.Millisecond
-	// brokenAfter is how long a connection survives a cut: see the keep-alive
-	// settings of the hop.
+	// keepAliveTimeout is how long a connection survives a cut; it follows from the
+	// keep-alive settings of the hop.
 	keepAliveTimeout = 8 * time.Second
-	// dialTimeout is how long a dial into a cut takes to fail.
+	// dialTimeout is the time after which a dial without any response fails, such as one
+	// across a cut or to a machine that is down.
 	dialTimeout = time.Second
-	// cutProbe is how often a waiting message tries again.
+	// cutRetryPeriod is the time between two attempts to deliver a message that a cut
+	// holds up.
 	cutRetryPeriod = 250 * time.Millisecond
 )
 
-// cut blocks traffic in one direction between two groups of processes.
+// cut blocks the traffic from one group of processes to another, in this direction only.
 type cut struct {
 	from, to func(*process) bool
 }
@@ -37,10 +39,11 @@
 type network struct {
 	s    *Simulation
 	cuts []*cut
-	// healed are the cuts of the last settleWithin.
+	// healed are the cuts that ended within the last settleTime; older ones are removed
+	// when the next cut ends.
 	healed []healedCut
-	// duplicate is the share of control messages that arrive twice, reorder of
-	// those that are overtaken. TCP does neither; the cores stand both.
+	// duplicate is the share of control messages that are delivered twice, reorder the
+	// share that may overtake earlier ones. TCP does neither; the cores tolerate both.
 	duplicate float64
 	reorder   float64
 }
@@ -53,13 +56,13 @@
 	n.healed = append(n.healed, healedCut{cut: c, at: n.s.loop.now})
 }
 
-// wasCut tells whether a cut is on or has just ended.
+// recentlyCut reports whether a cut is active or ended within settleTime.
 func (n *network) recentlyCut() bool {
 	return len(n.cuts) > 0 || len(n.healed) > 0 && n.s.loop.now.Sub(n.healed[len(n.healed)-1].at) <= settleTime
 }
 
-// onSide tells whether no cut, not even one that has just ended, lies between
-// two nodes.
+// sameSide reports whether no cut separates two nodes, neither an active one nor one that
+// ended within settleTime.
 func (n *network) sameSide(a, b *node) bool {
 	separates := func(c *cut) bool {
 		return c.from(&a.process) && c.to(&b.process) || c.from(&b.process) && c.to(&a.process)
@@ -92,7 +95,7 @@
 	return base + n.s.loop.exponential(base/5)
 }
 
-// simLink is one control connection.
+// simLink is one control connection between two nodes.
 type simLink struct {
 	ends         [2]*node
 	ids          [2]coordination.LinkID
@@ -101,7 +104,7 @@
 	lastArrivals [2]time.Time // the arrival of the last message towards each end
 }
 
-// connect opens a connection as the daemon's peering would.
+// connect dials a peer as the daemon's peering does.
 func (n *network) connect(from *node, action coordination.Connect) {
 	to := n.s.byAddress[action.Address]
 	generation := from.process.generation
@@ -144,7 +147,7 @@
 	}
 }
 
-// side returns which end the node is.
+// side returns the index of the node's end.
 func (l *simLink) side(of *node) int {
 	if l.ends[0] == of {
 		return 0
@@ -152,7 +155,7 @@
 	return 1
 }
 
-// send carries a message; the bytes are those of its real encoding.
+// send transmits a message; the bytes counted are those of its real encoding and its frame.
 func (n *network) send(from *node, action coordination.Send) {
 	l := from.links[action.Link]
 	if l == nil {
@@ -174,8 +177,8 @@
 	}
 }
 
-// arrive delivers a message, or holds it while the way is cut, until the
-// connection breaks.
+// deliverMessage delivers a message. While a cut blocks the direction, it retries until
+// the deadline and then breaks the connection.
 func (n *network) deliverMessage(l *simLink, side int, message coordination.Message, deadline time.Time) {
 	from, to := l.ends[side], l.ends[1-side]
 	if !l.open[1-side] {
@@ -196,7 +199,7 @@
 	})
 }
 
-// breakLink ends a connection at both ends.
+// breakLink closes a connection at both ends.
 func (n *network) breakLink(l *simLink) {
 	for i, end := range l.ends {
 		if !l.open[i] {
@@ -210,8 +213,8 @@
 	}
 }
 
-// closeAll ends the connections of a process that died. When its machine died
-// with it, nobody tells the peers, and they notice after a while.
+// closeAll closes the connections of a process that ended. If its machine is lost too, no
+// packet informs the peers, which notice only after keepAliveTimeout.
 func (n *network) closeAll(of *node, withMachine bool) {
 	var links []*simLink
 	for id := coordination.LinkID(1); id <= of.lastLink; id++ {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -11,7 +11,7 @@
 	"github.com/harriernotch/harriernotch/internal/router"
 )
 
-// node is one process with the core of its role.
+// node is one process of the fleet with the core of its role.
 type node struct {
 	s        *Simulation
 	process  process
@@ -21,22 +21,23 @@
 
 	// router is set for a router.
 	router *router.Core
-	// agent is set for an agent, with the back end beside it.
+	// agent and backEnd are set for an agent and the back end behind it.
 	agent   *agent.Core
 	backEnd *backEnd
 	pending map[admission.RequestID]*attempt
 	lastID  admission.RequestID
-	// exchanges are the requests that a router has under way.
+	// exchanges are the requests that a router has in flight.
 	exchanges map[*request]bool
-	// machineDown says that the machine is away, not just the process, and
-	// platformCut that the node can't reach the platform.
+	// machineDown reports that the whole machine is down, not only the process.
+	// platformCut reports that the node can't reach the platform.
 	machineDown bool
 	platformCut bool
-	// adopted is the highest number this node, in any of its lives, put in force.
+	// adopted is the highest bundle number that the node has had in force while ready,
+	// across restarts.
 	adopted uint64
-	// adoptedAt is when each number came into force here.
+	// adoptedAt is when the node first adopted each bundle number.
 	adoptedAt map[uint64]time.Time
-	// load is the gate's load that was last counted in the pool's total.
+	// load is the gate's load that countLoad saw last.
 	load int
 }
 
@@ -56,7 +57,7 @@
 	}
 }
 
-// start brings the process up with an empty memory.
+// start starts the process without any state of an earlier start.
 func (n *node) start() {
 	n.process.up = true
 	n.process.frozen = false
@@ -89,8 +90,8 @@
 	n.s.loop.log("start %s generation %d", n.process.id, generation)
 }
 
-// tickEvery ticks the core while this generation lives. A frozen process makes
-// up for one tick when it wakes, as a timer would.
+// tickEvery ticks the core until the process ends or restarts. A process that was frozen
+// gets one tick when it resumes, as from a timer.
 func (n *node) tickEvery(generation int, first, period time.Duration) {
 	n.s.loop.after(first, func() {
 		if !n.process.up || n.process.generation != generation {
@@ -122,7 +123,7 @@
 	n.perform(n.agent.Control(n.clock(), event))
 }
 
-// performControl carries out control actions.
+// performControl performs the actions of the control plane.
 func (n *node) performControl(actions []coordination.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -146,7 +147,7 @@
 	}
 }
 
-// perform carries out an agent's effects.
+// perform performs the effects of an agent's core.
 func (n *node) perform(effects agent.Effects) {
 	n.performControl(effects.Control)
 	for _, action := range effects.Requests {
@@ -162,8 +163,8 @@
 	n.countLoad()
 }
 
-// countLoad keeps the pool's true total, and lets the load bound be checked
-// whenever the load has risen.
+// countLoad samples the pool's mean when the load of the agent's gate has changed, and
+// first checks the load bound if the load has risen.
 func (n *node) countLoad() {
 	load := 0
 	if n.process.up {
@@ -181,7 +182,7 @@
 	n.s.pools[n.backEnd.pool].sample(n.s.loop.now)
 }
 
-// stop ends the process. machine says that its machine and back end die too.
+// stop ends the process. withMachine means that its machine and back end go down too.
 func (n *node) stop(withMachine bool) {
 	if !n.process.up {
 		return
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -10,11 +10,12 @@
 	"github.com/harriernotch/harriernotch/internal/objectstore"
 )
 
-// operators publish bundles through the same code as the command line.
+// operators publishes bundles with the same code as the command line.
 type operators struct {
 	s        *Simulation
 	attempts int
-	// without and leaving describe the next document.
+	// omitted and leaving are the back ends that the next bundle omits or marks as
+	// leaving.
 	omitted map[string]bool
 	leaving map[string]bool
 }
@@ -25,13 +26,14 @@
 
 func (o *operators) publisher() *objectstore.Publisher {
 	now := func() time.Time { return o.s.loop.now }
-	// Operators act at one moment here; a doubtful write is looked at again at
-	// once.
+	// An operator's whole action takes no virtual time, so the publisher reads back a
+	// write of unknown outcome without a pause.
 	noPause := func(context.Context, time.Duration) error { return nil }
 	return objectstore.NewPublisher(o.s.platform, o.s.trusted, now).WithPause(noPause)
 }
 
-// sign returns the present document as the successor of what is published.
+// sign signs the current document as the successor of the published bundle. It returns the
+// signed bytes and the published bundle.
 func (o *operators) sign() ([]byte, *bundle.Bundle, error) {
 	o.attempts++
 	current, _, err := o.publisher().Current(context.Background())
@@ -56,7 +58,7 @@
 	return raw, current, err
 }
 
-// publish publishes the present document.
+// publish publishes the current document.
 func (o *operators) publish() {
 	raw, _, err := o.sign()
 	if err != nil {
@@ -72,7 +74,7 @@
 	o.s.checks.awaitPublished(published)
 }
 
-// race lets two operators publish at the same moment: exactly one may win.
+// race lets two operators publish concurrently; only one may succeed.
 func (o *operators) race() {
 	firstRaw, _, err := o.sign()
 	if err != nil {
--- a/internal/simulation/options.go
+++ b/internal/simulation/options.go
@@ -8,11 +8,11 @@
 	"github.com/harriernotch/harriernotch/internal/routing"
 )
 
-// Break names a mechanism that a simulation can switch off, to show that the
-// checkers notice.
+// Mechanism is a mechanism of the system that a simulation can disable, to verify that
+// the checks detect the resulting faults.
 type Mechanism string
 
-// The mechanisms.
+// The mechanisms that can be disabled. MechanismNone disables none.
 const (
 	MechanismNone         Mechanism = ""
 	MechanismBound        Mechanism = "bound"
@@ -26,14 +26,14 @@
 	MechanismThaw         Mechanism = "thaw"
 )
 
-// Breaks lists the mechanisms that can be switched off.
+// Mechanisms returns the mechanisms that can be disabled.
 func Mechanisms() []Mechanism {
 	return []Mechanism{MechanismBound, MechanismKeys, MechanismKeyAge, MechanismLease, MechanismLeaving, MechanismDrain, MechanismBundleOrder, MechanismRetryUnknown, MechanismThaw}
 }
 
-// Policy is a way to choose back ends, for comparison.
+// Policy is a policy for choosing back ends; a simulation compares several.
 type Policy struct {
-	// Name is what the command line takes.
+	// Name is the policy's name on the command line.
 	Name string
 
 	policy    routing.Policy
@@ -41,7 +41,7 @@
 	noWait    bool
 }
 
-// Policies lists the product's own choice first, then the baselines.
+// Policies returns the system's own policy first, then the baselines.
 func Policies() []Policy {
 	return []Policy{
 		{Name: "token-hash-bounded", policy: routing.PolicyTokenThenHash},
@@ -54,7 +54,7 @@
 	}
 }
 
-// PolicyByName returns the policy with the name.
+// PolicyByName returns the policy with the name, and whether there is one.
 func PolicyByName(name string) (Policy, bool) {
 	for _, policy := range Policies() {
 		if policy.Name == name {
@@ -64,32 +64,34 @@
 	return Policy{}, false
 }
 
-// Options set up a simulation.
+// Options configures a simulation.
 type Options struct {
-	// Seed decides everything that is random.
+	// Seed determines every random choice of the run.
 	Seed uint64
-	// Size is the fleet.
+	// Size describes the fleet and its traffic.
 	Size Size
-	// Policy is the choice of back ends.
+	// Policy is the policy for choosing back ends.
 	Policy Policy
-	// Warmup is how long caches fill before anything is counted.
+	// Warmup is the time during which the caches fill and nothing is measured. The
+	// promises are checked all the time.
 	Warmup time.Duration
-	// Duration is how long is counted after that.
+	// Duration is the measured time after the warm-up.
 	Duration time.Duration
-	// Faults strike at times from the end of the warm-up.
+	// Faults are injected at times that count from the end of the warm-up.
 	Faults []Fault
 	// ClockError is the largest difference between two machines' clocks.
 	ClockError time.Duration
-	// Duplicate and Reorder are shares of control messages.
+	// Duplicate is the share of control messages that are delivered twice, Reorder the
+	// share that may overtake earlier ones.
 	Duplicate float64
 	Reorder   float64
-	// Break switches a mechanism off.
+	// Disabled is the mechanism that is disabled, if any.
 	Disabled Mechanism
-	// Log, if set, takes every line of the event log.
+	// Log, if set, receives every line of the event log.
 	Log func(line string)
 }
 
-// coordination returns the control plane's settings.
+// coordination returns the configuration of the nodes' control plane.
 func (o Options) coordination() coordination.Config {
 	config := coordination.DefaultConfig()
 	config.AcceptAnyOrder = o.Disabled == MechanismBundleOrder
@@ -97,7 +99,7 @@
 	return config
 }
 
-// disable returns what the agents leave out.
+// agentDisable returns the mechanisms that the agents disable.
 func (o Options) agentDisable() agent.Disable {
 	return agent.Disable{
 		Bound:  o.Disabled == MechanismBound || o.Policy.unbounded,
--- a/internal/simulation/pool.go
+++ b/internal/simulation/pool.go
@@ -7,27 +7,29 @@
 	"github.com/harriernotch/harriernotch/internal/bundle"
 )
 
-// poolState is the truth about a pool, which no node knows.
+// poolState is the global state of a pool, which no single node knows.
 type poolState struct {
 	s       *Simulation
 	pool    *bundle.Pool
 	members []*node
-	// recent holds the pool's mean load at past moments; sides, while the
-	// network is cut, that of the members on each member's side.
+	// recentMeans holds the pool's mean loads within the window. While the network is
+	// cut, and for settleTime after, sideMeans holds for each member the mean loads that
+	// it may use.
 	recentMeans meanQueue
 	sideMeans   map[*node]*meanQueue
 }
 
-// meanSample is the mean at a moment.
+// meanSample is the mean load at one time.
 type meanSample struct {
 	at   time.Time
 	mean float64
 }
 
-// meanQueue holds falling means: its front is the highest within the window.
+// meanQueue is a monotonic queue of decreasing means, whose front is the highest mean
+// within the window.
 type meanQueue []meanSample
 
-// note adds the mean of the present moment.
+// add adds the current mean.
 func (q *meanQueue) add(now time.Time, mean float64) {
 	list := *q
 	for len(list) > 0 && list[len(list)-1].mean <= mean {
@@ -36,8 +38,8 @@
 	*q = append(list, meanSample{at: now, mean: mean})
 }
 
-// highest returns the highest mean within the window. The front may be the last
-// sample before the window: its mean held until the next one.
+// highest returns the highest mean within the window. The front may be the last sample
+// before the window, because its mean was valid until the next sample.
 func (q *meanQueue) highest(now time.Time, window time.Duration) float64 {
 	list := *q
 	for len(list) > 1 && now.Sub(list[1].at) > window {
@@ -50,17 +52,17 @@
 	return list[0].mean
 }
 
-// serving tells whether the member counts towards the pool's mean: its process
-// is up and takes new work.
+// isServing reports whether the member counts in the pool's mean: its process is up and
+// isn't leaving.
 func isServing(n *node) bool { return n.process.up && !n.agent.Gate().IsLeaving() }
 
-// present is the mean over some members at the present moment.
+// meanLoad is the current mean load over count members.
 type meanLoad struct {
 	mean  float64
 	count int
 }
 
-// withOneMore returns the mean with one more request.
+// withOneMore returns the mean with one additional request.
 func (p meanLoad) withOneMore() float64 {
 	if p.count == 0 {
 		return 0
@@ -68,7 +70,7 @@
 	return p.mean + 1/float64(p.count)
 }
 
-// mean returns the present mean over the serving members that include takes.
+// mean returns the current mean load over the serving members that include selects.
 func (p *poolState) mean(include func(*node) bool) meanLoad {
 	total, count := 0, 0
 	for _, member := range p.members {
@@ -85,21 +87,22 @@
 
 func everyMember(*node) bool { return true }
 
-// settleWithin is how long after a fault struck or left a member its peers may
-// still reckon the mean without it: until they have noticed its silence, or
-// heard from it again.
+// settleTime is the time after a fault began or ended at a member, during which its peers
+// may still compute the mean with or without it: until they have detected its missing
+// heartbeats, or received updates from it again.
 const settleTime = 4 * time.Second
 
-// isSettled tells whether the pool has had time to notice the member's state.
+// isSettled reports whether the member is ready and running, and its peers have had time
+// to learn its state.
 func (p *poolState) isSettled(n *node) bool {
 	at, hit := p.s.checks.lastStateChange[n.process.id]
 	return n.ready() && !n.process.frozen && !(hit && p.s.loop.now.Sub(at) <= settleTime)
 }
 
-// views returns the means that a member may go by at the present moment. While
-// members come and go, that is the mean with and without those whose state isn't
-// settled; while the network is cut, and until the sides have heard of each other
-// again, also the means over the members on its side.
+// allowedMeans returns the current means that a member may use for its load bound: the mean
+// over all members and the mean without those whose state isn't settled. While the network
+// is cut, and for settleTime after, until both sides have received updates from each other
+// again, the means over the members on its side are allowed too.
 func (p *poolState) allowedMeans(member *node) []meanLoad {
 	means := []meanLoad{p.mean(everyMember), p.mean(p.isSettled)}
 	if !p.s.network.recentlyCut() {
@@ -110,8 +113,8 @@
 	return append(means, p.mean(sameSide), p.mean(settledOnSide))
 }
 
-// sample notes the present means for admissions to come: those are judged by the
-// highest mean of the last moments, with the request to be admitted counted.
+// sample records the current means for later admissions. Those are checked against the
+// highest recent mean, which includes the request to be admitted.
 func (p *poolState) sample(now time.Time) {
 	for _, load := range []meanLoad{p.mean(everyMember), p.mean(p.isSettled)} {
 		p.recentMeans.add(now, load.withOneMore())
@@ -133,8 +136,8 @@
 	}
 }
 
-// highest returns the highest mean that the member may go by: of the last
-// moments, and of the present, in which its new request is counted already.
+// highest returns the highest mean that the member may use: of the recent ones, and of the
+// current ones, which include its new request already.
 func (p *poolState) highest(n *node, now time.Time, window time.Duration) float64 {
 	highest := p.recentMeans.highest(now, window)
 	if side := p.sideMeans[n]; side != nil {
@@ -146,13 +149,14 @@
 	return highest
 }
 
-// bound is the promise: the highest whole load under a mean.
+// bound returns the load bound for a mean: the highest load that a member may have.
 func (p *poolState) bound(mean float64) int {
 	return max(1, int(math.Ceil(p.pool.LoadMultiple*mean-1e-9)))
 }
 
-// hasRoom tells whether some serving member that the router can reach could take
-// one more request under the bound and its own capacity.
+// hasRoom reports whether any serving member that the router can reach, and that isn't
+// frozen, could accept one more request within the load bound and its own capacity. The
+// bound is that of the mean load over these members with the request.
 func (p *poolState) hasRoom(from *node) bool {
 	total, count, least := 0, 0, math.MaxInt
 	for _, member := range p.members {
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -4,26 +4,27 @@
 	"time"
 )
 
-// process is one process of the system on a machine of its own. It may be down,
-// or frozen: then what reaches it waits until it wakes.
+// process is one process of the system on its own machine. It may be down or frozen.
+// Events for a frozen process wait in its inbox until it is thawed.
 type process struct {
 	id     string
 	zone   string
 	region string
 	up     bool
 	frozen bool
-	// generation rises with every start, so that what was meant for an earlier
-	// process never reaches a later one.
+	// generation increases with every start, so that events addressed to an earlier
+	// start are never delivered to a later one.
 	generation int
-	// clockError is how far the machine's clock is off.
+	// clockError is the offset of the machine's clock from the simulation's clock.
 	clockError time.Duration
 	inbox      []func()
 }
 
-// clock returns the machine's own time.
+// clock returns the time by the machine's own clock.
 func (p *process) clock(s *Simulation) time.Time { return s.loop.now.Add(p.clockError) }
 
-// deliver lets something reach the process: at once, when it wakes, or never.
+// deliver runs an event in the process: immediately, or after the thaw if the process is
+// frozen. It drops the event if the process is down or was restarted since.
 func (p *process) deliver(generation int, run func()) {
 	if !p.up || p.generation != generation {
 		return
@@ -35,7 +36,8 @@
 	run()
 }
 
-// thaw wakes the process; it goes on as if nothing had passed.
+// thaw resumes a frozen process, which handles its inbox. It isn't notified of the pause; only
+// its clock shows it.
 func (p *process) thaw() {
 	p.frozen = false
 	waiting := p.inbox
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -7,59 +7,70 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// Result is what a run has shown.
+// Result is the result of a run.
 type Result struct {
-	// Size, Policy and Seed name the run.
+	// Size, Policy and Seed identify the run.
 	Size   string
 	Policy string
 	Seed   uint64
 	// Digest is a hash of the event log, LogLines its length.
 	Digest   uint64
 	LogLines uint64
-	// Violations are the broken promises, at most the first twenty; Counts
-	// holds their number by promise.
+	// Violations are the first broken promises, at most twenty; Counts is the number of
+	// violations of each promise.
 	Violations []Violation
 	Counts     map[string]int
 	// LastEvents are the last lines of the event log.
 	LastEvents []string `json:"-"`
 
-	// Requests and Attempts are those of callers and routers; Served is how
-	// many requests were answered whole.
+	// Requests is the number of requests of the callers, Attempts that of attempts of the
+	// routers, and Served that of requests with a whole answer, all after the warm-up.
 	Requests           int
 	Attempts           int
 	Served             int
 	AttemptsPerRequest float64
-	// Finals are the requests that were given up, by kind.
+	// Finals is the number of requests that were given up, by kind of failure.
 	Finals map[string]int
-	// RefusedWithRoom is the share of requests that were finally refused while
-	// a member of their pool had room.
+	// RefusedWithRoom is the share of requests that had no idempotency key and were finally
+	// refused for lack of room although a member of their pool had room.
 	RefusedWithRoom float64
-	// Admissions, and the share of them over the bound by the mean of the very
-	// moment; Violations speaks of the window.
+	// Admissions is the number of admissions, also during the warm-up, OverBoundStrict the
+	// share of them over the bound by the mean load at the time of the admission.
+	// Violations uses the highest mean within the window instead.
 	Admissions      int
 	OverBoundStrict float64
-	// ReuseTurns is the share of returning turns that found their context
-	// cached, ReuseTokens the share of its tokens.
+	// ReuseTurns is the share of returning turns whose whole context was cached,
+	// ReuseTokens the share of cached tokens in the contexts of all returning turns.
 	ReuseTurns  float64
 	ReuseTokens float64
-	// PeakOverMean and P99OverMean are the median over time of the highest and
-	// the 99th percentile load in a pool, as multiples of the mean;
-	// PeakOverMeanWorst is the 99th percentile over time of the first.
+	// PeakOverMean and P99OverMean are the medians over time of the highest and the 99th
+	// percentile load in a pool, as multiples of the mean. PeakOverMeanWorst is the 99th
+	// percentile over time of the highest load.
 	PeakOverMean      float64
 	P99OverMean       float64
 	PeakOverMeanWorst float64
-	// Control traffic of a node, sent and received together, in bytes and
-	// messages a second.
-	ControlBytesMedian   float64
-	ControlBytesP99      float64
-	ControlBytesPeak     float64
-	ControlMessagesP99   float64
-	NewsBytesPerRequest  float64
-	PlatformCallsMean    float64
-	PlatformCallsPeak    int
-	FirstTokenMedian     time.Duration
-	FirstTokenP95        time.Duration
-	UnknownOutcomeShare  float64
+	// The control traffic of a node, sent and received together, in bytes and messages per
+	// second.
+	ControlBytesMedian float64
+	ControlBytesP99    float64
+	ControlBytesPeak   float64
+	ControlMessagesP99 float64
+	// NewsBytesPerRequest is the mean size of the control information in the header of an
+	// attempt, in bytes of base64.
+	NewsBytesPerRequest float64
+	// PlatformCallsMean and PlatformCallsPeak are the mean and highest number of the nodes'
+	// reads from the platform in a second.
+	PlatformCallsMean float64
+	PlatformCallsPeak int
+	// FirstTokenMedian and FirstTokenP95 are the times until the first token of the served
+	// chat turns.
+	FirstTokenMedian time.Duration
+	FirstTokenP95    time.Duration
+	// UnknownOutcomeShare is the share of requests that were given up when it was unknown
+	// whether they ran.
+	UnknownOutcomeShare float64
+	// SmallestTenantServed is the lowest share of served requests among the tenants with
+	// more than a few requests.
 	SmallestTenantServed float64
 }
 
@@ -102,7 +113,7 @@
 	return float64(part) / float64(whole)
 }
 
-// quantile returns the value of a sorted list at a share of its length.
+// quantile returns the quantile of a sorted list, with share from 0 to 1.
 func quantile(sorted []float64, share float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -157,8 +168,8 @@
 	r.PlatformCallsMean = ratio(total, int(m.s.loop.now.Sub(m.from).Seconds()))
 }
 
-// smallestTenantServed is the lowest served share among the tenants that asked
-// for more than a few requests.
+// smallestTenantServed returns the lowest share of served requests among the tenants with
+// more than a few requests.
 func (s *Simulation) smallestTenantServed() float64 {
 	const few = 20
 	lowest := 1.0
@@ -170,5 +181,5 @@
 	return lowest
 }
 
-// Broken tells whether any promise was broken.
+// Broken reports whether any promise was broken.
 func (r Result) Broken() bool { return len(r.Violations) > 0 }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Scenario draws the faults of a run.
+// Scenario is a kind of run: it draws the faults and sets the default times.
 type Scenario struct {
-	// Name is what the command line takes.
+	// Name is the scenario's name on the command line.
 	Name string
-	// About says what it brings about.
+	// About describes the scenario in the command's help.
 	About string
-	// Warmup and Duration are used when the command line names none.
+	// Warmup is the time of the warm-up, Duration the default measured time.
 	Warmup   time.Duration
 	Duration time.Duration
 
 	draw func(random *rand.Rand, size Size, duration time.Duration) []Fault
-	// rough lets control messages be doubled and overtaken.
+	// unreliableControl duplicates and reorders a share of the control messages.
 	unreliableControl bool
 }
 
-// Scenarios lists them all.
+// Scenarios returns all scenarios.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{Name: "steady", About: "no faults", Warmup: 3 * time.Minute, Duration: 5 * time.Minute, draw: drawNothing},
@@ -36,7 +36,7 @@
 	}
 }
 
-// ScenarioByName returns the scenario with the name.
+// ScenarioByName returns the scenario with the name, and whether there is one.
 func ScenarioByName(name string) (Scenario, bool) {
 	for _, scenario := range Scenarios() {
 		if scenario.Name == name {
@@ -46,16 +46,16 @@
 	return Scenario{}, false
 }
 
-// Options returns the options of a run of the scenario. duration may be 0 for
-// the scenario's own.
+// Options returns the options of a run of the scenario. A duration of 0 means the
+// scenario's own.
 func (c Scenario) Options(seed uint64, size Size, policy Policy, duration time.Duration) Options {
 	if duration == 0 {
 		duration = c.Duration
 	}
 	options := Options{
 		Seed: seed, Size: size, Policy: policy, Warmup: c.Warmup, Duration: duration, ClockError: time.Second,
-		// The faults have a random source of their own, so that they are the
-		// same for every policy.
+		// The faults have a separate random source, so that they are the same for every
+		// policy.
 		Faults: c.draw(rand.New(rand.NewPCG(seed, 2)), size, duration),
 	}
 	if policy.noWait {
@@ -69,9 +69,10 @@
 
 func (z Size) nodeCount() int { return z.Routers + z.Models*z.Engines + z.Services }
 
-// anyNode and anyAgent pick targets; nodes are numbered routers first.
+// anyNode returns the index of a random node. Routers have the lowest indexes.
 func anyNode(random *rand.Rand, size Size) int { return random.IntN(size.nodeCount()) }
 
+// anyAgent returns the index of a random agent.
 func anyAgent(random *rand.Rand, size Size) int {
 	return size.Routers + random.IntN(size.nodeCount()-size.Routers)
 }
@@ -132,9 +133,9 @@
 	return drawFaults(random, size, duration, kinds, 12, 20)
 }
 
-// drawOwnership moves the keys of one plain service, while its zone and the
-// callers that reach it still go by the old list, for longer than a handover
-// takes.
+// drawOwnership removes one service back end from the bundle, so that its keys get another
+// owner. Meanwhile its zone is cut off for longer than a handover takes, so that the
+// nodes in it still use the old bundle.
 func drawOwnership(_ *rand.Rand, size Size, duration time.Duration) []Fault {
 	firstService := size.Routers + size.Models*size.Engines
 	return []Fault{
@@ -156,7 +157,8 @@
 	return drawFaults(random, size, duration, kinds, 16, 40)
 }
 
-// drawOf draws count faults of the kinds; one in four strikes twice.
+// drawFaults draws count faults of the kinds. Each is injected a second time with a
+// probability of one in four.
 func drawFaults(random *rand.Rand, size Size, duration time.Duration, kinds []FaultKind, count, longest int) []Fault {
 	var faults []Fault
 	for range count {
--- a/internal/simulation/simplatform.go
+++ b/internal/simulation/simplatform.go
@@ -12,29 +12,30 @@
 
 const (
 	platformLatency = 3 * time.Millisecond
-	// callTimeout is how long a client waits beyond a watch's own wait.
+	// callTimeout is how long a client waits for a platform that doesn't answer.
 	callTimeout = 3 * time.Second
-	machineLag  = 2 * time.Second
+	// machineLag is the delay until the machine list shows a machine as leaving.
+	machineLag = 2 * time.Second
 )
 
-// simPlatform is the modelled object API and machine list. For operators, who
-// act at one moment, it implements objectstore.Objects.
+// simPlatform models the object API and the machine list. It implements
+// objectstore.Objects for the operators, whose calls take no virtual time.
 type simPlatform struct {
 	s       *Simulation
 	objects map[string]objectstore.Object
 	version uint64
 	down    bool
 	slow    bool
-	// loseAnswers is the number of next writes whose answer is lost.
+	// loseWriteAnswers is the number of the next writes whose answer is lost.
 	loseWriteAnswers int
 	watches          []*watch
-	// leaving is when each machine was put on the list as leaving.
+	// leavingSince is when each machine was marked as leaving.
 	leavingSince map[string]time.Time
-	// beforeWrite runs once before the next write: another operator's move.
+	// beforeWrite runs once before the next write, to simulate a concurrent operator.
 	beforeWrite func()
 }
 
-// watch is a waiting read.
+// watch is a read that waits for a new version.
 type watch struct {
 	done  bool
 	reply func()
@@ -86,7 +87,7 @@
 	p.s.loop.after(action.Wait, w.reply)
 }
 
-// wake answers the waiting watches.
+// answerWatches answers all waiting watches.
 func (p *simPlatform) answerWatches() {
 	waiting := p.watches
 	p.watches = nil
@@ -95,7 +96,7 @@
 	}
 }
 
-// setDown begins or ends an outage; an outage breaks the waiting watches.
+// setDown begins or ends an outage. The beginning of an outage fails the waiting watches.
 func (p *simPlatform) setDown(down bool) {
 	p.down = down
 	p.s.loop.log("platform down %v", down)
@@ -104,7 +105,8 @@
 	}
 }
 
-// readMachines answers a node's read of the machine list.
+// readMachines answers a node's read of the machine list, which holds all routers and those
+// agents that are leaving. A read that fails gets no answer.
 func (p *simPlatform) readMachines(n *node) {
 	p.s.measure.platformCall(p.s.loop.now)
 	if p.down || p.slow || n.platformCut {
@@ -139,7 +141,8 @@
 	return p.objects[key], nil
 }
 
-// Watch implements objectstore.Objects; operators don't watch.
+// Watch implements objectstore.Objects. It returns immediately, since operators don't
+// watch.
 func (p *simPlatform) Watch(ctx context.Context, key string, _ uint64, _ time.Duration) (objectstore.Object, error) {
 	return p.Get(ctx, key)
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -13,7 +13,7 @@
 	"github.com/harriernotch/harriernotch/internal/objectstore"
 )
 
-// Simulation is one run.
+// Simulation is one run of a simulated fleet.
 type Simulation struct {
 	options    Options
 	loop       *loop
@@ -30,13 +30,13 @@
 	poolNames  []string
 	signingKey ed25519.PrivateKey
 	trusted    []ed25519.PublicKey
-	// opened keeps verified bundles, so that a thousand hollow nodes don't
-	// parse the same bytes a thousand times.
+	// openedBundles caches verified bundles by the hash of their bytes, so that a
+	// thousand simulated nodes don't parse the same bytes a thousand times.
 	openedBundles map[uint64]*bundle.Bundle
 	lastPublished uint64
 }
 
-// New builds a fleet that hasn't started.
+// New returns a simulation whose fleet isn't started yet.
 func New(options Options) (*Simulation, error) {
 	s := &Simulation{
 		options: options,
@@ -62,7 +62,7 @@
 	return s, nil
 }
 
-// open verifies a bundle once for all nodes.
+// openBundle verifies a bundle once for all nodes.
 func (s *Simulation) openBundle(raw []byte) (*bundle.Bundle, error) {
 	digest := xxhash.Sum64(raw)
 	if known := s.openedBundles[digest]; known != nil {
@@ -121,17 +121,17 @@
 	return n
 }
 
-// checkPeriod is the time between two looks at every node.
+// checkPeriod is the time between two checks of all nodes.
 const checkPeriod = time.Second
 
-// Run runs the simulation to its end and returns what was seen.
+// Run runs the simulation to its end and returns its result.
 func (s *Simulation) Run() Result {
 	s.operators.publish()
 	for _, id := range s.ids {
 		s.nodes[id].start()
 	}
 	s.loop.every(checkPeriod, checkPeriod, s.checks.checkNodes)
-	// The fleet comes up before the callers.
+	// The fleet starts before the callers do.
 	const startupTime = 10 * time.Second
 	s.loop.runUntil(epoch.Add(startupTime), neverStop)
 	s.callers.start()
@@ -145,7 +145,8 @@
 
 func neverStop() bool { return false }
 
-// tooMany ends a run that has broken promises many times over.
+// tooManyViolations reports whether the run has reached maxViolations and should end
+// early.
 func (s *Simulation) tooManyViolations() bool {
 	return len(s.checks.violations) >= maxViolations
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -14,14 +14,14 @@
 	_ "github.com/harriernotch/harriernotch/internal/fixedseed"
 )
 
-// failer is what the tests and rapid's have in common.
+// testFailer is the common interface of *testing.T and *rapid.T.
 type testFailer interface {
 	Helper()
 	Fatal(arguments ...any)
 }
 
 func init() {
-	// A run takes half a second; under the race detector several.
+	// A run takes half a second, and several under the race detector.
 	if err := flag.Set("rapid.checks", "30"); err != nil {
 		panic(err)
 	}
@@ -45,7 +45,7 @@
 	size, _ := SizeByName("small")
 	duration := 2 * time.Minute
 	if scenario == "ownership" {
-		duration = chosen.Duration // a handover takes minutes
+		duration = chosen.Duration // an ownership handover takes minutes
 	}
 	return chosen.Options(seed, size, Policies()[0], duration)
 }
@@ -58,7 +58,7 @@
 	return text.String() + strings.Join(result.LastEvents, "\n")
 }
 
-// seedsOfCI is the fixed set of seeds that every scenario is run with.
+// seedsPerScenario is the number of seeds that every scenario is run with, from 1 up.
 const seedsPerScenario = 3
 
 func TestPromisesHoldInEveryScenario(t *testing.T) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// drawFault draws any fault at any moment.
+// drawFault generates any fault at any time.
 func drawFault(size Size, duration time.Duration) *rapid.Generator[Fault] {
 	return rapid.Custom(func(t *rapid.T) Fault {
 		return Fault{
@@ -90,8 +90,8 @@
 	})
 }
 
-// TestPromisesHoldUnderDrawnFaults lets rapid draw the fault schedule, and shrink
-// one that breaks a promise.
+// TestPromisesHoldUnderRandomFaults lets rapid generate fault schedules, and shrink one
+// that breaks a promise.
 func TestPromisesHoldUnderRandomFaults(t *testing.T) {
 	const duration = 90 * time.Second
 	size, _ := SizeByName("small")
@@ -123,7 +123,7 @@
 	is.True(runSimulation(t, scenarioOptions(t, "everything", 8)).Digest != results[0].Digest)
 }
 
-// breakCase says where a switched-off mechanism must be noticed.
+// mechanismCase names the scenario in which a disabled mechanism must break the promise.
 type mechanismCase struct {
 	scenario string
 	promise  string
@@ -141,8 +141,8 @@
 	MechanismThaw:         {"freeze", PromiseBound},
 }
 
-// TestEveryCheckerCanFail switches one mechanism off at a time: the checker of
-// the promise that it keeps must then find a violation.
+// TestDisabledMechanismBreaksItsPromise disables one mechanism at a time: the check of the
+// promise that the mechanism keeps must then find a violation.
 func TestDisabledMechanismBreaksItsPromise(t *testing.T) {
 	for _, name := range Mechanisms() {
 		t.Run(string(name), func(t *testing.T) {
@@ -159,14 +159,14 @@
 					return
 				}
 			}
-			t.Fatalf("%s off, and %q was never broken in %d seeds of %s", name, c.promise, tries, c.scenario)
+			t.Fatalf("%s disabled, but %q was never broken in %d seeds of %s", name, c.promise, tries, c.scenario)
 		})
 	}
 }
 
-// TestColdFleetTakesWorkWithRoom starts the callers' full traffic before a fleet
-// that has just come up. Pools fill from nothing, and must not refuse what they
-// have room for.
+// TestColdFleetServesRequestsWhilePoolsHaveRoom sends the full traffic to a fleet that has
+// just started. The pools fill from zero load, and must not refuse requests for which
+// they have room.
 func TestColdFleetServesRequestsWhilePoolsHaveRoom(t *testing.T) {
 	const allowed = 0.01
 	if refused := runColdFleet(t, 1).RefusedWithRoom; refused > allowed {
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestColdFleetsTakeWorkWithRoomOnAverage is the same over more seeds, none of which may
-// break the bound for it.
+// TestColdFleetsServeRequestsWhilePoolsHaveRoomOnAverage checks the same over more seeds.
+// None of them may break a promise, such as the load bound, to serve more requests.
 func TestColdFleetsServeRequestsWhilePoolsHaveRoomOnAverage(t *testing.T) {
 	const seeds, allowed = 12, 0.015
 	total := 0.0
@@ -191,7 +191,7 @@
 	}
 }
 
-// coldFleet plays the first ten seconds of a fleet.
+// runColdFleet runs a fleet for the first ten seconds of its traffic.
 func runColdFleet(t *testing.T, seed uint64) Result {
 	t.Helper()
 	chosen, _ := ScenarioByName("steady")
--- a/internal/simulation/size.go
+++ b/internal/simulation/size.go
@@ -8,29 +8,30 @@
 	"github.com/harriernotch/harriernotch/internal/bundle"
 )
 
-// Size is a fleet with its traffic.
+// Size describes a fleet and its traffic.
 type Size struct {
-	// Name is what the command line takes.
+	// Name is the size's name on the command line.
 	Name string
-	// Regions, and Zones in each.
+	// Regions is the number of regions, Zones the number of zones in each.
 	Regions int
 	Zones   int
 	// Routers is the number of routers.
 	Routers int
-	// Models is the number of engine pools, Engines the engines in each.
+	// Models is the number of engine pools, Engines the number of engines in each.
 	Models  int
 	Engines int
 	// Services is the number of plain service back ends.
 	Services int
-	// Tenants share the traffic by a heavy-tailed law.
+	// Tenants is the number of tenants, which share the traffic by Zipf's law.
 	Tenants int
-	// ChatRate is the number of chat turns a second over the whole fleet.
+	// ChatRate is the number of chat turns per second in the whole fleet.
 	ChatRate float64
-	// ServiceRate is the number of plain calls a second.
+	// ServiceRate is the number of service calls per second.
 	ServiceRate float64
-	// Pause is a chat's mean pause between turns.
+	// Pause is the mean pause between two turns of a chat.
 	Pause time.Duration
-	// CacheShare is how many of an engine's share of chats its cache holds.
+	// CacheShare is the capacity of an engine's cache, as a multiple of the contexts of
+	// the engine's share of the chats.
 	CacheShare float64
 
 	// The pools' settings in the bundle.
@@ -40,7 +41,7 @@
 	maxRunning   int
 }
 
-// Sizes are the fleets that can be simulated.
+// Sizes returns the fleets that can be simulated.
 func Sizes() []Size {
 	swanCoast := Size{
 		Name: "swan-coast", Regions: 1, Zones: 4, Routers: 4, Models: 1, Engines: 18, Services: 4, Tenants: 10,
@@ -66,7 +67,7 @@
 	return []Size{swanCoast, beridze, fleet, quarter, fifth, small}
 }
 
-// SizeByName returns the size with the name.
+// SizeByName returns the size with the name, and whether there is one.
 func SizeByName(name string) (Size, bool) {
 	for _, size := range Sizes() {
 		if size.Name == name {
@@ -76,10 +77,10 @@
 	return Size{}, false
 }
 
-// ownershipLease is short, so that a simulation sees leases lapse.
+// ownershipLease is short, so that leases expire within a simulation.
 const ownershipLease = 30 * time.Second
 
-// place is a back end's place in the bundle.
+// placement is the ID, address and location of a node.
 type placement struct {
 	id      string
 	address string
@@ -87,7 +88,7 @@
 	zone    string
 }
 
-// layout names all back ends of a size, pool by pool.
+// placements returns the placements of all back ends by pool.
 func (z Size) placements() map[string][]placement {
 	pools := map[string][]placement{}
 	for model := range z.Models {
@@ -106,7 +107,7 @@
 
 func poolName(model int) string { return fmt.Sprintf("model-%d", model) }
 
-// place spreads nodes evenly over the zones.
+// place returns the placement of a node; nodes are spread evenly over the zones.
 func (z Size) place(id string, index, network int) placement {
 	zone := index % (z.Regions * z.Zones)
 	return placement{
@@ -117,8 +118,8 @@
 	}
 }
 
-// document returns the bundle. without names back ends to leave out, leaving
-// those to withdraw.
+// document returns the source of a bundle without the omitted back ends and with the
+// leaving ones marked as leaving. The remark makes the documents of one run differ.
 func (z Size) document(omitted, leaving map[string]bool, remark int) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, "# remark %d\nformat = 1\n[control]\nownership_lease = %q\nclock_error = \"1s\"\n", remark, ownershipLease)
--- a/internal/simulation/sizes_test.go
+++ b/internal/simulation/sizes_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Requests were given up after 12 to 16 s at beridze's size, in a fleet without any fault: each
-// attempt waited its time for the load bound, one after the other.
+// TestNothingIsHeldBackAtTheUsersSizes guards against requests that are given up only after
+// 12 to 16 s, at beridze's size in a fleet without faults. This happens if each attempt
+// waits its full time for the load bound, one after the other.
 func TestNothingIsHeldBackAtTheUsersSizes(t *testing.T) {
 	const duration = 90 * time.Second
 	for _, name := range []string{"swan-coast", "beridze"} {
--- a/internal/slo/recorder.go
+++ b/internal/slo/recorder.go
@@ -1,5 +1,5 @@
-// Package slo records how well requests meet the service-level objectives and
-// reports how fast the error budget burns.
+// Package slo records how requests meet the service-level objectives, and reports the burn
+// rate of the error budget.
 package slo
 
 import (
@@ -11,52 +11,53 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// Labels tell whose request it was.
+// Labels identify the tenant, pool and priority of a request.
 type Labels struct {
 	Tenant   string
 	Pool     string
 	Priority uint8
 }
 
-// Targets are the objectives in force, from the bundle.
+// Targets are the latency targets in force, from the bundle.
 type Targets struct {
-	// FirstToken and BetweenTokens are the longest times that count as met.
+	// FirstToken and BetweenTokens are the longest times that meet the target.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
 }
 
-// SlotLength is the span over which requests are counted together.
+// SlotLength is the length of a slot, in which requests are counted together.
 const SlotLength = 5 * time.Minute
 
-// slotsKept is how many slots are kept: six hours. A label set costs about 4 KB
-// when it is busy all the time.
+// slotsKept is the number of slots that are kept for each label set: 72 consecutive slots are
+// six hours. A label set with all of them takes about 4 KB.
 const slotsKept = 72
 
-// Counts are the requests of one label set in one slot.
+// Counts is the number of requests of one label set in one slot, by result.
 type Counts struct {
 	// Start is when the slot began.
 	Start time.Time `json:"start"`
-	// Answered requests came whole; SlowFirst and SlowBetween of them missed a
-	// target.
+	// Answered counts the requests with a whole answer; SlowFirst and SlowBetween count
+	// those of them that missed the target for the first token or between tokens.
 	Answered    int64 `json:"answered"`
 	SlowFirst   int64 `json:"slow_first"`
 	SlowBetween int64 `json:"slow_between"`
-	// Slow missed either target.
+	// Slow counts the answered requests that missed either target.
 	Slow int64 `json:"slow"`
-	// Broken requests got no whole answer after a back end may have run them.
+	// Broken counts the requests without a whole answer that a back end may have run.
 	Broken int64 `json:"broken"`
-	// Refused requests were told that they were not run.
+	// Refused counts the requests that failed and certainly were not run.
 	Refused int64 `json:"refused"`
 }
 
-// Latency histograms, in units of 100 µs up to ten minutes, with one digit.
+// Latency histograms have units of 100 µs, values of up to ten minutes, and one significant
+// digit.
 const (
 	histogramUnit     = 100 * time.Microsecond
 	highestUnits      = int64(10 * time.Minute / histogramUnit)
 	significantDigits = 1
 )
 
-// poolLabels name a histogram; tenants share them to keep memory small.
+// poolLabels identify a histogram. All tenants share it, to save memory.
 type poolLabels struct {
 	pool     string
 	priority uint8
@@ -68,7 +69,7 @@
 	betweenTokens *hdrhistogram.Histogram
 }
 
-// Recorder collects the records of one node. It is safe for concurrent use.
+// Recorder collects the counts and latencies of one node. It is safe for concurrent use.
 type Recorder struct {
 	mutex     sync.Mutex
 	counts    map[Labels][]Counts
@@ -80,7 +81,8 @@
 	return &Recorder{counts: map[Labels][]Counts{}, latencies: map[poolLabels]*latencies{}}
 }
 
-// current returns the slot of the moment. The mutex is held.
+// slotAt returns the last slot if the time lies in it. Otherwise it adds a slot for the time,
+// and drops the first one if slotsKept are stored already. The mutex must be held.
 func (r *Recorder) slotAt(at time.Time, labels Labels) *Counts {
 	start := at.Truncate(SlotLength)
 	slots := r.counts[labels]
@@ -106,7 +108,7 @@
 	return r.latencies[key]
 }
 
-// Watch follows one request.
+// Tracker tracks one request.
 type Tracker struct {
 	recorder *Recorder
 	labels   Labels
@@ -117,12 +119,12 @@
 	chunks   int
 }
 
-// Begin follows a new request.
+// Begin starts to track a request.
 func (r *Recorder) Begin(now time.Time, labels Labels, targets Targets) *Tracker {
 	return &Tracker{recorder: r, labels: labels, targets: targets, started: now}
 }
 
-// Piece notes that a piece of the answer came.
+// Chunk records that a chunk of the answer arrived.
 func (t *Tracker) Chunk(now time.Time) {
 	if t.chunks == 0 {
 		t.first = now
@@ -131,7 +133,7 @@
 	t.last = now
 }
 
-// Whole notes that the answer came whole.
+// Complete records that the whole answer arrived.
 func (t *Tracker) Complete() {
 	if t.chunks == 0 {
 		t.first = t.started
@@ -161,7 +163,8 @@
 	_ = histograms.betweenTokens.RecordValue(units(between))
 }
 
-// Failed notes that the request got no whole answer.
+// Failed records that the request got no whole answer. A request whose caller is gone isn't
+// counted.
 func (t *Tracker) Failed(kind failure.Kind) {
 	if kind == failure.CallerGone {
 		return
--- a/internal/slo/report.go
+++ b/internal/slo/report.go
@@ -8,40 +8,41 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Goals are the shares of requests that must meet the objectives.
+// Goals are the shares of requests that must meet the objectives, less than 1.
 type Goals struct {
 	// Fraction is the share of answered requests that must meet both latency
 	// targets.
 	Fraction float64
-	// AnsweredWhole is the share of accepted requests that must be answered
-	// whole.
+	// AnsweredWhole is the share of accepted requests that must get a whole answer.
 	AnsweredWhole float64
 }
 
-// Windows are the spans that a report looks at together: a short one shows what
-// burns now, a long one what has burnt.
+// Windows are the time windows of a report: a short one shows the present burn rate, a long
+// one how much of the budget is spent.
 var Windows = []time.Duration{SlotLength, 30 * time.Minute, time.Hour, 6 * time.Hour}
 
-// Burn is how many times faster than allowed a label set spends its error
-// budget. 1 spends exactly what the goal allows.
+// Burn holds the burn rates of one label set: how many times faster than allowed it spends
+// its error budget. A rate of 1 spends exactly what the goal allows.
 type Burn struct {
 	Series
-	// Latency and Whole are the burns of the two goals, one for each window.
+	// Latency and Whole are the burn rates of the two goals, one for each window.
 	Latency []float64
 	Whole   []float64
 	// Requests is the number of accepted requests in the longest window.
 	Requests int64
-	// Refused is the number of requests told that they were not run.
+	// Refused is the number of refused requests in the longest window.
 	Refused int64
-	// Since is when the present run of slots that burn too fast began; zero when
-	// the latest slot doesn't.
+	// Since is the start of the uninterrupted run of slots, up to the latest, that have a
+	// burn rate above 1; zero if the latest slot hasn't. There are no slots without
+	// requests, so a time without requests doesn't interrupt the run.
 	Since time.Time
 }
 
-// Worst returns the fastest burn over both goals in the window.
+// Worst returns the higher burn rate of the two goals in the window with the index.
 func (b Burn) Worst(window int) float64 { return max(b.Latency[window], b.Whole[window]) }
 
-// Percentiles of one pool and priority, over all nodes.
+// Percentiles are the latencies of one pool and priority over all nodes, since each node
+// started. TotalAnswered is the number of answered requests in the same time.
 type Percentiles struct {
 	Pool             string
 	Priority         uint8
@@ -50,13 +51,14 @@
 	TotalAnswered    int64
 }
 
-// Report merges what nodes handed out.
+// Report is the merged report of several nodes.
 type Report struct {
 	Burns       []Burn
 	Percentiles []Percentiles
 }
 
-// Merge makes a report at the time, the fastest present burn first.
+// Merge merges the snapshots of nodes into a report at the time, with the highest burn rate
+// in the shortest window first.
 func Merge(now time.Time, goals Goals, snapshots []Snapshot) Report {
 	report := Report{}
 	for _, series := range mergeSeries(snapshots) {
@@ -67,7 +69,7 @@
 	return report
 }
 
-// mergeSeries adds up the slots of equal labels and start.
+// mergeSeries adds up the slots with equal labels and start times.
 func mergeSeries(snapshots []Snapshot) []Series {
 	merged := map[Labels]map[time.Time]Counts{}
 	for _, snapshot := range snapshots {
@@ -125,7 +127,7 @@
 	return burn
 }
 
-// rate is the share of bad requests over the share that the goal allows.
+// burnRate returns the share of bad requests divided by the share that the goal allows.
 func burnRate(bad, all int64, goal float64) float64 {
 	if all == 0 {
 		return 0
@@ -133,7 +135,8 @@
 	return float64(bad) / float64(all) / (1 - goal)
 }
 
-// burningSince walks back from the latest slot while slots burn too fast.
+// burningSince returns the start of the uninterrupted run of slots, up to the latest, that
+// have a burn rate above 1, or zero if the latest slot hasn't.
 func burningSince(goals Goals, slots []Counts) time.Time {
 	var since time.Time
 	for i := len(slots) - 1; i >= 0; i-- {
@@ -145,7 +148,7 @@
 	return since
 }
 
-// SlotBurn returns the faster burn of the two goals in one slot.
+// SlotBurn returns the higher burn rate of the two goals in one slot.
 func SlotBurn(goals Goals, slot Counts) float64 {
 	latency := burnRate(slot.Slow, slot.Answered, goals.Fraction)
 	whole := burnRate(slot.Broken, slot.Answered+slot.Broken, goals.AnsweredWhole)
--- a/internal/slo/slo_test.go
+++ b/internal/slo/slo_test.go
@@ -16,7 +16,7 @@
 	labels  = Labels{Tenant: "school", Pool: "model"}
 )
 
-// answer records a request of three pieces.
+// answer records a request with an answer of three chunks.
 func answer(r *Recorder, at time.Time, first, between time.Duration) {
 	w := r.Begin(at, labels, targets)
 	for i := range 3 {
@@ -64,7 +64,7 @@
 		r.Begin(burning.Add(time.Duration(slot)*SlotLength), labels, targets).Failed(failure.StreamBroken)
 	}
 	r.Begin(burning, labels, targets).Failed(failure.PoolExhausted) // refused: not run, not broken
-	r.Begin(burning, labels, targets).Failed(failure.CallerGone)    // nobody's fault
+	r.Begin(burning, labels, targets).Failed(failure.CallerGone)    // not counted
 	report := Merge(burning.Add(3*SlotLength), goals, []Snapshot{r.Snapshot()})
 	is.True(report.Burns[0].Since.Equal(burning))
 	is.Equal(report.Burns[0].Refused, int64(1))
--- a/internal/slo/snapshot.go
+++ b/internal/slo/snapshot.go
@@ -7,13 +7,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Snapshot is what a node hands out of its records.
+// Snapshot is a copy of a node's records, as the node serves it.
 type Snapshot struct {
 	Series    []Series    `json:"series"`
 	Latencies []Latencies `json:"latencies"`
 }
 
-// Series holds the counts of one label set, the oldest slot first.
+// Series holds the counts of one label set. A recorder adds a slot when a request ends that
+// didn't start in the last slot, so several slots may have the same start; Merge adds them
+// up and sorts them.
 type Series struct {
 	Tenant   string   `json:"tenant"`
 	Pool     string   `json:"pool"`
@@ -21,8 +23,8 @@
 	Slots    []Counts `json:"slots"`
 }
 
-// Latencies are the histograms of one pool and priority, in units of 100 µs.
-// Histograms of several nodes can be merged; percentiles can't.
+// Latencies holds the histograms of one pool and priority, in units of 100 µs. Unlike
+// percentiles, the histograms of several nodes can be merged.
 type Latencies struct {
 	Pool          string                 `json:"pool"`
 	Priority      uint8                  `json:"priority"`
@@ -30,7 +32,7 @@
 	BetweenTokens *hdrhistogram.Snapshot `json:"between_tokens"`
 }
 
-// Snapshot copies the records, in a fixed order.
+// Snapshot returns a copy of the records, in a fixed order.
 func (r *Recorder) Snapshot() Snapshot {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
