--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -138,7 +138,7 @@
 	}
 	switch {
 	case foreign || facts.Encoded:
-		return h.unusable(c, send, response, "the answer isn't one to this request")
+		return h.invalidAnswer(c, send, response, "the answer isn't one to this request")
 	case facts.Misdirected && facts.ActualBackEnd != "" && facts.ActualBackEnd != send.BackEnd.ID:
 		return h.rejectAnswer(c, send, response, "the back end "+facts.ActualBackEnd+" has the address", (*dispatch.Core).Displaced)
 	case facts.Misdirected:
@@ -146,7 +146,7 @@
 	case facts.NotRun:
 		return h.rejectAnswer(c, send, response, "the back end refused", (*dispatch.Core).Refused)
 	case untrusted:
-		return h.unusable(c, send, response, "the answer lacks a back end's stamp, or its status promises that the request was not run")
+		return h.invalidAnswer(c, send, response, "the answer lacks a back end's stamp, or its status promises that the request was not run")
 	}
 	result := outcome{answer: response, facts: facts}
 	if !c.route.Stream || response.StatusCode >= http.StatusMultipleChoices {
@@ -192,7 +192,7 @@
 	return whole, err
 }
 
-func (h *Handler) unusable(c *call, send dispatch.Send, response *http.Response, cause string) outcome {
+func (h *Handler) invalidAnswer(c *call, send dispatch.Send, response *http.Response, cause string) outcome {
 	return h.rejectAnswer(c, send, response, cause, (*dispatch.Core).InvalidAnswer)
 }
 
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -224,12 +224,12 @@
 		return dispatch.Decision{}
 	})
 	for decision.Send != nil {
-		outcome := h.attempt(ctx, c, *decision.Send, "")
-		if outcome.answer != nil {
-			h.passOn(ctx, c, outcome)
+		result := h.attempt(ctx, c, *decision.Send, "")
+		if result.answer != nil {
+			h.passOn(ctx, c, result)
 			return
 		}
-		decision = outcome.next
+		decision = result.next
 	}
 	h.refuse(c, decision.GiveUp)
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -134,13 +134,13 @@
 	m.scope.Gauge("gateways").Update(float64(gauges.Gateways))
 	m.scope.Gauge("evacuated_zones").Update(float64(gauges.Evacuated))
 	m.scope.Gauge("store_era").Update(float64(gauges.Era))
-	for _, moved := range gauges.Rollouts {
-		scope := m.scope.Tagged(map[string]string{"service": m.service(moved.Service)})
-		scope.Gauge("rollout_state").Update(float64(moved.State))
-		scope.Gauge("rollout_attempts").Update(float64(moved.Sent))
-		scope.Gauge("rollout_candidate_attempts").Update(float64(moved.Exposed))
+	for _, progress := range gauges.Rollouts {
+		scope := m.scope.Tagged(map[string]string{"service": m.service(progress.Service)})
+		scope.Gauge("rollout_state").Update(float64(progress.State))
+		scope.Gauge("rollout_attempts").Update(float64(progress.Sent))
+		scope.Gauge("rollout_candidate_attempts").Update(float64(progress.Exposed))
 	}
-	m.scope.Gauge("log_lines_left_out").Update(float64(gauges.LinesLeftOut))
+	m.scope.Gauge("log_lines_left_out").Update(float64(gauges.LinesDropped))
 	for _, service := range gauges.Services {
 		scope := m.scope.Tagged(map[string]string{"service": m.service(service.Name)})
 		scope.Gauge("retry_budget").Update(service.RetryBudget)
@@ -168,7 +168,7 @@
 	Era      uint64
 	Rollouts []RolloutGauges
 	// LinesLeftOut is the number of log lines left out since the start.
-	LinesLeftOut int64
+	LinesDropped int64
 	// Services are the services with back ends.
 	Services []ServiceGauges
 }
