--- a/internal/catalog/recordset.go
+++ b/internal/catalog/recordset.go
@@ -48,7 +48,7 @@
 	// eras is shared by all record sets of a view.
 	eras *eraState
 	// changes counts the changes of records, and changeOf has the number of the last change of
-	// each record. Readers use the numbers as cursors.
+	// each record. The numbers are the cursors of updates to peers.
 	changes  uint64
 	changeOf map[string]uint64
 	// alwaysAnnounced is the number of new objects in one offer that are always numbered as
--- a/internal/catalog/view.go
+++ b/internal/catalog/view.go
@@ -198,7 +198,7 @@
 func (v *View) Changes() uint64 { return v.entries.changes }
 
 // Unannounced returns the number of back ends that were added in groups too large to be numbered
-// as changes. Readers that follow the changes must compare digests whenever it grows.
+// as changes. A sender of changes must also send the digest whenever it has grown.
 func (v *View) Unannounced() uint64 { return v.entries.unannounced }
 
 // Since returns the entries that have changed since the cursor, in the order of their last
--- a/internal/dispatch/bound.go
+++ b/internal/dispatch/bound.go
@@ -23,7 +23,7 @@
 
 // bound returns the load that a member may have including the new request. The mean is taken
 // over all members that aren't leaving. Ejected members are included, because otherwise their
-// share of the load would be piled onto the others. In a nearly idle pool a member may get a
+// share of the load would be added to the others'. In a nearly idle pool a member may get a
 // few requests regardless of the mean.
 func (c *Core) bound(now time.Time, x *Exchange) float64 {
 	total, count := 1.0, 0.0
--- a/internal/dispatch/disable.go
+++ b/internal/dispatch/disable.go
@@ -18,7 +18,7 @@
 	RespectEvacuations Mechanism = "evacuations"
 	// WarmUpLimit limits the request rate of back ends that are warming up.
 	WarmUpLimit Mechanism = "warm-up-limit"
-	// VerifyAnswers rejects answers that belong to other requests or lack a back end's signature.
+	// VerifyAnswers rejects answers that belong to other requests or lack a back end's stamp.
 	VerifyAnswers Mechanism = "own-answers"
 	// FollowConfiguration adopts new versions of the configuration after the first.
 	FollowConfiguration Mechanism = "configuration"
--- a/internal/dispatch/displaced.go
+++ b/internal/dispatch/displaced.go
@@ -5,8 +5,9 @@
 // A back end that crashed may stay listed for seconds, or as long as the store is unavailable,
 // while another back end already uses its address. Each request sent there is refused and uses
 // up one of the request's attempts. A gateway that finds another back end at the address knows
-// for certain that the intended incarnation has ended, and tells the other gateways. Otherwise
-// each of hundreds of gateways would have to find out about each of a hundred such back ends.
+// for certain that the intended incarnation has ended, and reports that to the other gateways.
+// Otherwise each of hundreds of gateways would have to find out about each of a hundred such back
+// ends.
 
 // Displaced records that another back end, which identified itself, uses the address of the
 // intended one, and decides how to proceed.
--- a/internal/dispatch/lapse.go
+++ b/internal/dispatch/lapse.go
@@ -18,8 +18,9 @@
 // while the back end may still be running. It is used only while several members of its pool
 // have lapsed, and at least as many as remain, because a pool that shrinks normally loses a
 // few members at a time. Sending to a lapsed member that is really gone is safe: every
-// request names the incarnation that it is meant for, and any other incarnation refuses it
-// without running it.
+// request names the ID of the back end that it is meant for, and any other back end at the
+// address refuses it without running it. If the back end has restarted under the same ID, the
+// new incarnation may run the request like any other.
 type lapsedMember struct {
 	*member
 	// until is when the member is considered gone.
--- a/internal/dispatch/member.go
+++ b/internal/dispatch/member.go
@@ -96,8 +96,8 @@
 }
 
 const (
-	// initialInterval is assumed for the interval of updates before any has arrived. It
-	// is the shortest interval at which peers send them.
+	// initialInterval is assumed for the interval of updates before any has arrived. It is the
+	// period at which the gateways of a small fleet send them if nothing else has changed.
 	initialInterval = 200 * time.Millisecond
 	// intervalWeight is the weight of the newest interval in the moving average.
 	intervalWeight = 0.1
--- a/internal/follower/list.go
+++ b/internal/follower/list.go
@@ -113,8 +113,9 @@
 
 // backEnds returns the list of back ends. Reading it takes many calls, and all gateways of a fleet
 // that restarts read it at the same time, so the first read may be stale. An entry that is seconds
-// old is safe: every request that is sent names the incarnation that it is meant for, and peers and
-// the next read deliver newer entries. The configuration and the evacuated zones are read fresh.
+// old is safe: every request that is sent names the ID of the back end that it is meant for, any
+// other back end at the address refuses it, and peers and the next read deliver newer entries. The
+// configuration and the evacuated zones are read fresh.
 func (f *Follower) backEnds() list {
 	state := f.config.State
 	followed := listOf("back_ends", f.newProgress(), f.config.Source.BackEnds(),
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -44,7 +44,8 @@
 // stream is an event stream that is being passed on to the caller.
 type stream struct {
 	controller *http.ResponseController
-	// lastID is the ID of the last event that was sent to the caller.
+	// lastID is the ID of the last event that was sent to the caller, and events the number of
+	// events sent.
 	lastID string
 	events int
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -107,6 +107,7 @@
 	}
 	notSent := hop.NothingSent(cause)
 	deadlinePassed := !h.clock().Now().Before(c.deadline)
+	// Only requests that may be repeated are sent on pooled connections; see Config.Reused.
 	if (expired || deadlinePassed) && !notSent && c.route.MayRepeat() {
 		h.closeReused()
 	}
@@ -128,6 +129,8 @@
 // decides whether it is passed on.
 func (h *Handler) checkAnswer(c *call, send dispatch.Send, response *http.Response) outcome {
 	facts := h.config.Dialect.ReadAnswer(response.StatusCode, response.Header)
+	// An answer is foreign if it belongs to another request. Only a refusal may lack the request's
+	// ID. Refusals are also exempt from the check for untrusted answers, which comes after them.
 	foreign := facts.ID != c.facts.ID && (facts.ID != "" || !facts.NotRun)
 	untrusted := !facts.Stamped || promisesNotRun(response.StatusCode)
 	if h.config.Disabled[dispatch.VerifyAnswers] {
@@ -192,10 +195,13 @@
 	return whole, err
 }
 
+// invalidAnswer rejects an answer that can't be used. The request may have run.
 func (h *Handler) invalidAnswer(c *call, send dispatch.Send, response *http.Response, cause string) outcome {
 	return h.rejectAnswer(c, send, response, cause, (*dispatch.Core).InvalidAnswer)
 }
 
+// rejectAnswer lets a step of the core decide how to continue after a refusal, an invalid answer or
+// a failure, and logs the attempt as failed.
 func (h *Handler) rejectAnswer(c *call, send dispatch.Send, response *http.Response, cause string, step func(*dispatch.Core, time.Time, *dispatch.Exchange) dispatch.Decision) outcome {
 	next := h.decideSend(c, func(now time.Time, core *dispatch.Core) dispatch.Decision {
 		return step(core, now, c.exchange)
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -25,7 +25,8 @@
 
 // RequestFacts is the content of a caller's headers.
 type RequestFacts struct {
-	// ID is the request's ID, chosen by the caller.
+	// ID is the request's ID, chosen by the caller. Every attempt forwards it, and the back end's
+	// answer repeats it.
 	ID string
 	// Key authenticates the tenant.
 	Key string
@@ -45,7 +46,7 @@
 	Tenant string
 	// Urgency ranks the request; 0 is the most urgent.
 	Urgency int
-	// FetchFrom is a back end from which prompt parts can be copied, or "".
+	// FetchFrom is the address of a back end from which prompt parts can be copied, or "".
 	FetchFrom string
 	// ResumeAfter is the ID of the last event that the caller has, or "" for a new stream.
 	ResumeAfter string
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -33,7 +33,7 @@
 	MaxBodyBytes int64
 	// Buffers limits the bytes buffered for callers and back ends together.
 	Buffers *BufferLimit
-	// Lag detects that this process was paused.
+	// Lag detects that this process was paused; how late it runs is State.Lag.
 	Lag *LagMeter
 	// Log and Metrics receive what operators should know.
 	Log     *eventlog.Log
@@ -93,11 +93,11 @@
 	exchange *dispatch.Exchange
 	// bufferedRequest and bufferedAnswer are the bytes that the call uses of Config.Buffers.
 	bufferedRequest, bufferedAnswer int64
-	// unloggedSends are decisions to send that the log's budget left out.
+	// unloggedSends are the decisions to send that haven't been logged; see sendDecision.
 	unloggedSends []sendDecision
 }
 
-// defaultTimeout applies if neither the caller nor the route sets a shorter time-out.
+// defaultTimeout applies if neither the caller nor the route sets a shorter timeout.
 const defaultTimeout = time.Minute
 
 // ServeHTTP implements http.Handler.
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -167,7 +167,7 @@
 	// Era is the era of the store. Rollouts are the services that are being rolled out.
 	Era      uint64
 	Rollouts []RolloutGauges
-	// LinesLeftOut is the number of log lines left out since the start.
+	// LinesDropped is the number of log lines dropped since the start.
 	LinesDropped int64
 	// Services are the services with back ends.
 	Services []ServiceGauges
@@ -186,11 +186,12 @@
 type ServiceGauges struct {
 	// Name is the name of the service.
 	Name string
-	// RetryBudget is the number of retries left. InFlight is the number of this gateway's
-	// requests in flight.
+	// RetryBudget is the number of retries that this gateway may make now, and InFlight the
+	// number of its requests in flight.
 	RetryBudget float64
 	InFlight    int
-	// BackEnds counts the listed back ends, and Unusable those believed not to work.
+	// BackEnds counts the listed back ends, and Unusable those of them whose health isn't
+	// dispatch.Healthy.
 	BackEnds int
 	Unusable int
 }
--- a/internal/gateway/requestlog.go
+++ b/internal/gateway/requestlog.go
@@ -11,8 +11,10 @@
 	"github.com/harriernotch/harriernotch/internal/failure"
 )
 
-// sendDecision is a decision to send that the log's budget left out. It is kept until the
-// request ends. If it ends badly, the line is written after all, with the time of the decision.
+// sendDecision is a decision to send whose line eventlog.Log.Info didn't write, as a rule because
+// of the log's rate limit. It is kept until the request ends. If an attempt fails, or the request
+// ends badly or takes more than one attempt, the line is written after all, with the time of the
+// decision.
 type sendDecision struct {
 	at      time.Time
 	attempt int
@@ -55,7 +57,7 @@
 	return fields
 }
 
-// logUnloggedSends writes the decisions that were left out, because the request ends badly.
+// logUnloggedSends logs the decisions to send that weren't logged when they were made.
 func (h *Handler) logUnloggedSends(c *call) {
 	for _, decision := range c.unloggedSends {
 		fields := h.sendFields(c, decision)
@@ -123,9 +125,9 @@
 	h.config.Log.Warn(eventlog.AttemptFailed, fields)
 }
 
-// isCallersFault reports whether only the caller can correct the refused request. Such log
-// lines are written within the log's budget: a caller without a valid key must not crowd out
-// the log lines about failures.
+// isCallersFault reports whether only the caller can correct the refused request. Such refusals
+// are logged as routine events, with eventlog.Log.Info: a caller without a valid key must not use
+// up the rate limit of the lines about failures.
 func isCallersFault(kind failure.Kind) bool {
 	switch kind {
 	case failure.Unauthenticated, failure.UnknownRoute, failure.InvalidRequest, failure.TooLarge, failure.CallerGone:
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -59,8 +59,10 @@
 	Name string `json:"name"`
 	// RetryBudget is the number of retries that this gateway has left.
 	RetryBudget float64 `json:"retry_budget"`
-	BackEnds    int     `json:"back_ends"`
-	Unusable    int     `json:"unusable"`
+	// BackEnds counts the listed back ends, and Unusable those of them whose health isn't
+	// dispatch.Healthy.
+	BackEnds int `json:"back_ends"`
+	Unusable int `json:"unusable"`
 	// InFlight is the number of this gateway's own requests in flight.
 	InFlight int `json:"under_way"`
 }
--- a/internal/relay/link.go
+++ b/internal/relay/link.go
@@ -21,7 +21,7 @@
 	sendDocument    atomic.Bool
 	// requested are the buckets whose missing back ends the next message requests from the peer.
 	requested atomic.Uint64
-	// repair is used only by the reader.
+	// repair is used only by readLoop.
 	repair repair
 
 	mutex sync.Mutex
