--- a/internal/agent/agenthttp/forward.go
+++ b/internal/agent/agenthttp/forward.go
@@ -111,28 +111,28 @@
 	body     bytes.Buffer
 }
 
-func (k *replyRecorder) observe(chunk []byte) { _, _ = k.Write(chunk) }
+func (r *replyRecorder) observe(chunk []byte) { _, _ = r.Write(chunk) }
 
 // Write implements io.Writer. It never fails.
-func (k *replyRecorder) Write(chunk []byte) (int, error) {
-	if !k.enabled || k.overflow {
+func (r *replyRecorder) Write(chunk []byte) (int, error) {
+	if !r.enabled || r.overflow {
 		return len(chunk), nil
 	}
-	if k.body.Len()+len(chunk) > maxStoredReply {
-		k.overflow = true
-		k.body.Reset()
+	if r.body.Len()+len(chunk) > maxStoredReply {
+		r.overflow = true
+		r.body.Reset()
 		return len(chunk), nil
 	}
-	return k.body.Write(chunk)
+	return r.body.Write(chunk)
 }
 
-func (k *replyRecorder) outcome(response *http.Response) admission.Outcome {
+func (r *replyRecorder) outcome(response *http.Response) admission.Outcome {
 	outcome := admission.Outcome{Known: true}
-	if k.enabled && !k.overflow {
+	if r.enabled && !r.overflow {
 		header := http.Header{}
 		hop.CopyHeaders(header, response.Header)
-		outcome.Reply = &storedReply{status: response.StatusCode, header: header, body: k.body.Bytes()}
-		outcome.Size = k.body.Len() + storedReplyOverhead
+		outcome.Reply = &storedReply{status: response.StatusCode, header: header, body: r.body.Bytes()}
+		outcome.Size = r.body.Len() + storedReplyOverhead
 	}
 	return outcome
 }
--- a/internal/agent/agenthttp/server.go
+++ b/internal/agent/agenthttp/server.go
@@ -47,9 +47,9 @@
 	pending map[admission.RequestID]chan decision
 	lastID  admission.RequestID
 
-	admitted tally.Counter
-	refused  tally.Counter
-	load     tally.Gauge
+	started tally.Counter
+	refused tally.Counter
+	load    tally.Gauge
 }
 
 // decision is the core's decision on a request and the time at which it was made.
@@ -61,12 +61,12 @@
 // New returns a server. SetPeering must be called before it serves.
 func New(config Config) *Server {
 	return &Server{
-		config:   config,
-		core:     config.Core,
-		pending:  map[admission.RequestID]chan decision{},
-		admitted: config.Metrics.Counter("requests_started"),
-		refused:  config.Metrics.Counter("requests_refused"),
-		load:     config.Metrics.Gauge("load"),
+		config:  config,
+		core:    config.Core,
+		pending: map[admission.RequestID]chan decision{},
+		started: config.Metrics.Counter("requests_started"),
+		refused: config.Metrics.Counter("requests_refused"),
+		load:    config.Metrics.Gauge("load"),
 	}
 }
 
@@ -118,7 +118,7 @@
 	for _, action := range effects.Requests {
 		switch a := action.(type) {
 		case admission.Start:
-			s.admitted.Inc(1)
+			s.started.Inc(1)
 			s.sendDecision(a.ID, decision{a, now})
 		case admission.Refuse:
 			s.refused.Inc(1)
@@ -130,8 +130,8 @@
 }
 
 func (s *Server) sendDecision(id admission.RequestID, d decision) {
-	if waiting, known := s.pending[id]; known {
-		waiting <- d // doesn't block: the channel has room for the only decision that a request gets
+	if decided, known := s.pending[id]; known {
+		decided <- d // doesn't block: the channel has room for the only decision that a request gets
 		delete(s.pending, id)
 	}
 }
@@ -156,12 +156,12 @@
 }
 
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, head hop.Head) {
-	id, waiting := s.arrive(head)
+	id, decided := s.arrive(head)
 	select {
-	case d := <-waiting:
+	case d := <-decided:
 		s.execute(w, r, head, id, d)
 	case <-r.Context().Done():
-		s.abandon(id, waiting)
+		s.abandon(id, decided)
 	}
 }
 
@@ -171,20 +171,20 @@
 	defer s.mutex.Unlock()
 	s.lastID++
 	id := s.lastID
-	waiting := make(chan decision, 1)
-	s.pending[id] = waiting
+	decided := make(chan decision, 1)
+	s.pending[id] = decided
 	s.perform(s.core.Arrive(time.Now(), id, head))
-	return id, waiting
+	return id, decided
 }
 
 // abandon cancels a request whose caller disconnected before it was started.
-func (s *Server) abandon(id admission.RequestID, waiting chan decision) {
+func (s *Server) abandon(id admission.RequestID, decided chan decision) {
 	s.mutex.Lock()
 	delete(s.pending, id)
 	s.perform(s.core.Cancelled(time.Now(), id))
 	s.mutex.Unlock()
 	select {
-	case d := <-waiting:
+	case d := <-decided:
 		// The core started it before the cancellation: release its slot.
 		if _, started := d.action.(admission.Start); started {
 			s.finish(admission.Finished{ID: id, NotRun: true})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -45,7 +45,7 @@
 }
 
 // role is the common interface of the router's and the agent's HTTP server.
-type role interface {
+type roleServer interface {
 	http.Handler
 	Deliver(coordination.Event)
 	SetPeering(*peering.Peering)
@@ -58,8 +58,8 @@
 type Node struct {
 	settings   *settings.Settings
 	log        logrus.FieldLogger
-	role       role
-	control    *peering.Peering
+	roleServer roleServer
+	peering    *peering.Peering
 	metrics    *telemetry.Metrics
 	objectives *slo.Recorder
 	status     func() Status
@@ -133,16 +133,16 @@
 		transport = hop.NewTransport(hop.TransportConfig{Protocol: hop.HTTP1, Dial: environment.Dial})
 		n.assembleAgent(agent.New(config, open, acceptor, now), credential, transport)
 	}
-	n.control = peering.New(peering.Config{
+	n.peering = peering.New(peering.Config{
 		NodeID:     n.settings.ID,
 		Credential: credential,
 		Platform:   environment.Platform,
 		Dial:       environment.Dial,
-		Deliver:    n.role.Deliver,
+		Deliver:    n.roleServer.Deliver,
 		Log:        n.log,
 		Metrics:    n.metrics.Scope,
 	})
-	n.role.SetPeering(n.control)
+	n.roleServer.SetPeering(n.peering)
 }
 
 func (n *Node) assembleRouter(core *router.Core, credential hop.Credential, transport http.RoundTripper) {
@@ -160,7 +160,7 @@
 		Metrics:    n.metrics.Scope,
 		Objectives: n.objectives,
 	})
-	n.role = server
+	n.roleServer = server
 	n.status = func() (status Status) {
 		server.View(func(c *router.Core) { status = statusOf(time.Now(), c.Node(), c.Ready(time.Now())) })
 		return status
@@ -176,7 +176,7 @@
 		Log:        n.log,
 		Metrics:    n.metrics.Scope,
 	})
-	n.role = server
+	n.roleServer = server
 	n.status = func() (status Status) {
 		server.View(func(c *agent.Core) {
 			ready := c.Node().Ready(time.Now()) && !c.Gate().IsLeaving()
@@ -189,10 +189,10 @@
 // serve starts the HTTP servers and the periodic ticks.
 func (n *Node) serve() {
 	if n.callers != nil {
-		n.serveOn(n.callers, n.role)
+		n.serveOn(n.callers, n.roleServer)
 		n.serveOn(n.peers, n.peerHandler())
 	} else {
-		n.serveOn(n.peers, n.role)
+		n.serveOn(n.peers, n.roleServer)
 	}
 	n.serveOn(n.admin, n.adminHandler())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -235,7 +235,7 @@
 			failure.WriteHTTP(w, failure.New(failure.UnknownRoute, "a router's peer listener serves "+peering.Path+" alone"))
 			return
 		}
-		n.control.ServeHTTP(w, r)
+		n.peering.ServeHTTP(w, r)
 	})
 }
 
@@ -245,7 +245,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			n.role.Tick()
+			n.roleServer.Tick()
 		case <-ctx.Done():
 			return
 		}
@@ -260,14 +260,14 @@
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, n.status()) })
 	mux.HandleFunc("GET /slo", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, n.objectives.Snapshot()) })
 	mux.HandleFunc("POST /drain", func(w http.ResponseWriter, _ *http.Request) {
-		n.role.Drain()
+		n.roleServer.Drain()
 		w.WriteHeader(http.StatusAccepted)
 	})
 	return mux
 }
 
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if !n.role.Ready() {
+	if !n.roleServer.Ready() {
 		failure.WriteHTTP(w, failure.New(failure.NotReady, "the node takes no new work"))
 		return
 	}
@@ -291,20 +291,20 @@
 func (n *Node) AdminAddress() string { return n.admin.Addr().String() }
 
 // Ready reports whether the node accepts new work.
-func (n *Node) Ready() bool { return n.role.Ready() }
+func (n *Node) Ready() bool { return n.roleServer.Ready() }
 
 // Stop drains the node and stops it. Readiness fails at once, a router accepts
 // requests for drain_delay longer, and requests in flight may complete before the
 // node stops. When ctx ends, the remaining requests are cut off.
 func (n *Node) Stop(ctx context.Context) {
 	n.log.Info("draining")
-	n.role.Drain()
+	n.roleServer.Drain()
 	if n.callers != nil {
 		n.waitDrainDelay(ctx)
 	}
 	n.shutdown(ctx)
 	n.stopTicks()
-	n.control.Close()
+	n.peering.Close()
 	n.tasks.Wait()
 	_ = n.metrics.Close()
 	n.log.Info("stopped")
@@ -338,7 +338,7 @@
 	for _, server := range n.servers {
 		_ = server.Close()
 	}
-	n.control.Close()
+	n.peering.Close()
 	n.tasks.Wait()
 	_ = n.metrics.Close()
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -155,7 +155,7 @@
 func (c *Core) Tick(now time.Time) []coordination.Action {
 	if now.Sub(c.routersCountedAt) >= routerCountPeriod {
 		c.routersCountedAt = now
-		c.tenants.SetRouters(now, c.aliveRouters(now))
+		c.tenants.SetRouters(now, c.countLiveRouters(now))
 	}
 	return c.Control(now, coordination.Tick{})
 }
--- a/internal/router/routerhttp/route.go
+++ b/internal/router/routerhttp/route.go
@@ -23,7 +23,7 @@
 // answers it, the core gives up, or the caller has left.
 func (s *Server) route(w http.ResponseWriter, r *http.Request, p *callerRequest) {
 	labels := slo.Labels{Tenant: p.Tenant, Pool: p.Pool, Priority: uint8(p.Priority)}
-	watch := s.config.Objectives.Begin(time.Now(), labels, p.targets)
+	tracker := s.config.Objectives.Begin(time.Now(), labels, p.targets)
 	exchange, decision := s.begin(p)
 	for decision.Send != nil {
 		s.attempts.Inc(1)
@@ -45,10 +45,10 @@
 			decision = s.decide(func(now time.Time) router.Decision { return s.core.Refused(now, exchange, reply) })
 			continue
 		}
-		s.passOn(w, r, p, exchange, decision.Send, response, reply, watch)
+		s.passOn(w, r, p, exchange, decision.Send, response, reply, tracker)
 		return
 	}
-	watch.Failed(decision.GiveUp.Kind)
+	tracker.Failed(decision.GiveUp.Kind)
 	s.answerFailure(w, p, decision.GiveUp)
 }
 
@@ -132,7 +132,7 @@
 // passOn copies the back end's answer to the caller. If the answer turns out to be
 // incomplete, the connection is aborted so that the caller notices; before that, a
 // stream gets an event that says so.
-func (s *Server) passOn(w http.ResponseWriter, r *http.Request, p *callerRequest, exchange *router.Exchange, target *router.Send, response *http.Response, reply hop.Reply, watch *slo.Tracker) {
+func (s *Server) passOn(w http.ResponseWriter, r *http.Request, p *callerRequest, exchange *router.Exchange, target *router.Send, response *http.Response, reply hop.Reply, tracker *slo.Tracker) {
 	defer response.Body.Close()
 	token := ""
 	s.mutex.Lock()
@@ -150,11 +150,11 @@
 	}
 	w.WriteHeader(response.StatusCode)
 	copier := hop.NewCopier(r.URL.Path, response.Header)
-	copier.Observe = func([]byte) { watch.Chunk(time.Now()) }
+	copier.Observe = func([]byte) { tracker.Chunk(time.Now()) }
 	if err := copier.Copy(w, response.Body); err != nil {
-		s.abortAnswer(w, r, p, target, copier.Stream, err, watch)
+		s.abortAnswer(w, r, p, target, copier.Stream, err, tracker)
 	}
-	watch.Complete()
+	tracker.Complete()
 }
 
 // copyOwnHeaders copies those of an agent's own headers that callers get.
@@ -168,12 +168,12 @@
 
 // abortAnswer aborts the connection to the caller because the answer can't be
 // completed. It panics with http.ErrAbortHandler and never returns.
-func (s *Server) abortAnswer(w http.ResponseWriter, r *http.Request, p *callerRequest, target *router.Send, stream bool, cause error, watch *slo.Tracker) {
+func (s *Server) abortAnswer(w http.ResponseWriter, r *http.Request, p *callerRequest, target *router.Send, stream bool, cause error, tracker *slo.Tracker) {
 	if r.Context().Err() != nil {
-		watch.Failed(failure.CallerGone)
+		tracker.Failed(failure.CallerGone)
 		panic(http.ErrAbortHandler)
 	}
-	watch.Failed(failure.StreamBroken)
+	tracker.Failed(failure.StreamBroken)
 	s.config.Metrics.Tagged(map[string]string{"kind": failure.StreamBroken.String()}).Counter("failures").Inc(1)
 	s.config.Log.WithFields(logrus.Fields{"request": p.ID, "back_end": target.BackEnd}).WithError(cause).Warn("answer to the caller aborted: it is incomplete")
 	if stream {
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -12,7 +12,7 @@
 // maxPiggybackedRecords bounds the membership records sent with one request.
 const maxPiggybackedRecords = 4
 
-func (c *Core) aliveRouters(now time.Time) int {
+func (c *Core) countLiveRouters(now time.Time) int {
 	routers := 1
 	table := c.node.Table()
 	table.Entries(func(entry *membership.Entry) {
