--- a/internal/admission/bound.go
+++ b/internal/admission/bound.go
@@ -11,7 +11,7 @@
 	// Multiple is the c of the bound: a member's load may be at most c times the pool's
 	// mean load.
 	Multiple float64
-	// RoundDown keeps the load below the exact multiple where possible.
+	// RoundDown keeps the load at or below the exact multiple where possible; see round.
 	RoundDown bool
 	// Window is the age up to which an observed load counts fully.
 	Window time.Duration
@@ -132,8 +132,8 @@
 
 // round turns the mean into the highest admissible whole load. There is always a
 // member whose load, including the new request, is at most the rounded-up mean.
-// Both rounding modes allow that much; otherwise every member of a pool with a small
-// mean would refuse work.
+// Both rounding modes allow that much, even where RoundDown then exceeds the exact
+// multiple; otherwise every member of a pool with a small mean would refuse work.
 func (p BoundPolicy) round(mean float64) int {
 	exact := p.Multiple * mean
 	if !p.RoundDown {
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -50,7 +50,8 @@
 // Cancelled means that the caller left before the request was started.
 type Cancelled struct{ ID RequestID }
 
-// PoolObserved replaces the observed loads of the pool's other live members.
+// PoolObserved replaces the observed loads of the pool's other members. Others omits
+// those that don't count towards the mean load, such as leaving or dead ones.
 type PoolObserved struct{ Others []ObservedLoad }
 
 // Configured replaces the gate's configuration.
--- a/internal/admission/keys.go
+++ b/internal/admission/keys.go
@@ -17,10 +17,11 @@
 
 // Outcome is the result of the first run under a key.
 type Outcome struct {
-	// Known is false if it is unknown whether the request ran.
+	// Known is false if no complete answer was received, so the request may have run, in
+	// whole or in part.
 	Known bool
-	// Reply is the owner's handle on the stored reply, opaque to the gate. It is nil if
-	// the reply was too large to store.
+	// Reply is the stored reply of the gate's owner, opaque to the gate. It is nil if the
+	// reply was too large to store, or was dropped to limit the memory of all replies.
 	Reply any
 	// Size is the memory used by Reply, in bytes.
 	Size int
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -26,9 +26,9 @@
 	// Coordination configures the control plane.
 	Coordination coordination.Config
 	// IsolatedAfter is how long an agent continues to accept new work after its last
-	// contact to a peer. Contact of the routers, which they report with their
-	// requests, counts as the agent's own. It bounds the time during which the agent
-	// can miss an order to leave. Default 5s.
+	// contact with a peer. A router's last contact with a peer, which it reports with its
+	// requests, counts as the agent's own. IsolatedAfter bounds the time during which the
+	// agent can miss an order to leave. Default 5s.
 	IsolatedAfter time.Duration
 	// OwnerWait is how long a keyed request may wait for room under the load
 	// bound. Default 2s.
@@ -37,8 +37,9 @@
 	// may wait for room under the load bound. Default 4s, several default windows of
 	// the mean load: when the load rises, the bound follows only over several windows.
 	LastAttemptWait time.Duration
-	// KeyCapacity bounds the number of stored idempotency keys, and MaxReplyBytes
-	// the memory of the replies stored for them. Defaults 20000 and 8 MiB.
+	// KeyCapacity is the number of stored idempotency keys above which the oldest
+	// finished ones are removed. MaxReplyBytes bounds the memory of their stored
+	// replies. Defaults 20000 and 8 MiB.
 	KeyCapacity   int
 	MaxReplyBytes int
 	// Disable switches mechanisms off. It is set only to verify that the checkers
@@ -228,7 +229,7 @@
 	}
 }
 
-// isIsolated reports whether the agent has had no contact to a peer, neither its own
+// isIsolated reports whether the agent has had no contact with a peer, neither its own
 // nor one that a router reported, for so long that it may have missed an order to
 // leave.
 func (c *Core) isIsolated(now time.Time) bool {
--- a/internal/agent/agenthttp/forward.go
+++ b/internal/agent/agenthttp/forward.go
@@ -138,7 +138,7 @@
 }
 
 // answerReplay answers with the stored answer of the key's first run, or with an error
-// if that answer was not stored.
+// if that answer isn't stored.
 func (s *Server) answerReplay(w http.ResponseWriter, outcome admission.Outcome) {
 	s.setReply(w.Header(), nil)
 	stored, ok := outcome.Reply.(*storedReply)
--- a/internal/bundle/model.go
+++ b/internal/bundle/model.go
@@ -99,7 +99,8 @@
 	LoadMultiple float64 `toml:"load_multiple"`
 	// Rounding is "up" or "down"; default "up".
 	Rounding Rounding `toml:"rounding"`
-	// MeanWindow is the maximum age of a reported load that counts towards the mean. Default 1s.
+	// MeanWindow is the age up to which a reported load counts fully towards the mean. An older
+	// load counts as at most the mean of the loads within the window, if there are any. Default 1s.
 	MeanWindow tomlfile.Duration `toml:"mean_window"`
 	// AffinityWait is how long a returning chat may wait until the engine that caches its context
 	// has room below the load bound. A longer wait gives more cache reuse and delays some first
--- a/internal/bundle/owner.go
+++ b/internal/bundle/owner.go
@@ -65,8 +65,9 @@
 	return succession
 }
 
-// staleUntil returns the time until which a node may hold a lease on the previous version or,
-// through its header, on a version before it with a longer lease.
+// staleUntil returns the time until which a node may hold a lease on the previous version or on one
+// before it. An earlier version may have had a longer lease; the previous header's StaleUntilMillis
+// covers all of these.
 func staleUntil(previous *Bundle, signedAt time.Time) time.Time {
 	control := previous.Content.Control
 	until := signedAt.Add(PublishSlack + control.OwnershipLease.Std() + 2*control.ClockError.Std())
--- a/internal/coordination/node.go
+++ b/internal/coordination/node.go
@@ -151,9 +151,9 @@
 	return n.join.done
 }
 
-// updateJoin completes the join once two conditions hold: the node has the highest bundle that it
-// heard of; and the platform answered, JoinPeers peers were heard from, or JoinWait has passed since
-// the first of them.
+// updateJoin completes the join once two conditions hold: no higher bundle number than that of the
+// node's bundle was observed; and the platform answered, JoinPeers peers with a bundle were heard
+// from, or JoinWait has passed since the first of them.
 func (n *Node) updateJoin(now time.Time) {
 	if n.join.done || n.Bundle() == nil || n.acceptor.Behind() {
 		return
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -44,7 +44,7 @@
 	Log logrus.FieldLogger
 }
 
-// role is the common interface of the router's and the agent's HTTP server.
+// roleServer is the common interface of the router's and the agent's HTTP server.
 type roleServer interface {
 	http.Handler
 	Deliver(coordination.Event)
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -74,8 +74,9 @@
 	KeyInProgress
 	// KeyReused is an idempotency key that was used before with a different request.
 	KeyReused
-	// ReplyNotKept means that the first attempt with this idempotency key succeeded,
-	// but its answer was too large to be kept for repeats of the request.
+	// ReplyNotKept means that the first attempt with this idempotency key ran, but its
+	// answer isn't stored for repeats of the request: it was too large, or it was dropped
+	// to limit the memory of all stored answers.
 	ReplyNotKept
 	// BackendUnreachable means that no connection to a back end could be opened.
 	BackendUnreachable
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// routerCountPeriod is the time between two counts of the live routers, which divide
-// the tenants' limits among them.
+// routerCountPeriod is the time between two counts of the live routers. Each of them
+// grants a tenant its limit divided by that number.
 const routerCountPeriod = time.Second
 
 // Request holds what the core needs to know about a caller's request.
@@ -71,8 +71,9 @@
 	Priority admission.Priority
 	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
-	// ChatKey determines the rendezvous order of the back ends, so it distributes
-	// chats over the pool.
+	// ChatKey determines the rendezvous order of the back ends. For a chat it is constant,
+	// so the chat's turns get the same order, and chats spread over the pool. For a request
+	// to a service it is the request's ID, so requests spread over the pool.
 	ChatKey string
 	// Token is the caller's chat token, or nil.
 	Token *routing.ChatToken
@@ -323,9 +324,9 @@
 	return c.next(now, exchange, true)
 }
 
-// ConnectionLost records that the request was sent, at least in part, and got no valid
-// answer. It returns the caller's final answer: the request may have run, so it isn't sent
-// again, unless RetryUnknown is set.
+// ConnectionLost records that the request may have been sent, at least in part, and got no
+// valid answer. It returns the caller's final answer: the request may have run, so it isn't
+// sent again, unless RetryUnknown is set.
 func (c *Core) ConnectionLost(now time.Time, exchange *Exchange) Decision {
 	c.node.Step(now, coordination.NodeUnreachable{ID: exchange.target})
 	if c.config.RetryUnknown {
--- a/internal/router/routerhttp/route.go
+++ b/internal/router/routerhttp/route.go
@@ -34,8 +34,8 @@
 		}
 		reply, err := hop.ParseReply(response.Header)
 		if err != nil {
-			// The answer isn't from an agent of this version, so the request may
-			// have run.
+			// The reply is missing or invalid: the answer isn't from an agent of this
+			// version, so the request may have run.
 			_ = response.Body.Close()
 			decision = s.sendFailed(r, p, exchange, decision.Send, err)
 			continue
@@ -131,7 +131,7 @@
 
 // passOn copies the back end's answer to the caller. If the answer turns out to be
 // incomplete, the connection is aborted so that the caller notices; before that, a
-// stream gets an event that says so.
+// stream gets an error event.
 func (s *Server) passOn(w http.ResponseWriter, r *http.Request, p *callerRequest, exchange *router.Exchange, target *router.Send, response *http.Response, reply hop.Reply, tracker *slo.Tracker) {
 	defer response.Body.Close()
 	token := ""
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -12,6 +12,8 @@
 // maxPiggybackedRecords bounds the membership records sent with one request.
 const maxPiggybackedRecords = 4
 
+// countLiveRouters returns the number of routers that are alive, including this one. Those that
+// are flapping, doubtful or leaving aren't counted.
 func (c *Core) countLiveRouters(now time.Time) int {
 	routers := 1
 	table := c.node.Table()
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -58,7 +58,7 @@
 
 // Request holds what the choice of a back end depends on.
 type Request struct {
-	// ChatKey is the hash key that spreads chats over the pool. It is constant for a chat.
+	// ChatKey is the hash key that determines the rendezvous order. It is constant for a chat.
 	ChatKey string
 	// Token is the caller's chat token, or nil.
 	Token *ChatToken
--- a/internal/routing/token.go
+++ b/internal/routing/token.go
@@ -24,7 +24,8 @@
 	Incarnation uint32 `cbor:"3,keyasint"`
 	// IssuedAt is the router's time in seconds since 1970.
 	IssuedAt int64 `cbor:"4,keyasint"`
-	// ContextTokens is the length of the served context, in model tokens.
+	// ContextTokens is the length of the served context, in model tokens. Routers leave it
+	// at 0.
 	ContextTokens int `cbor:"5,keyasint"`
 }
 
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -179,7 +179,7 @@
 	}
 }
 
-// laggedLoad returns the load as of LoadLag ago, or a zero sample if none is that old.
+// laggedLoad returns the load as of LoadLag ago, or a zero sample if no kept sample is that old.
 func (e *Engine) laggedLoad() loadSample {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
