--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Plays days without each mechanism of dispatch.Choices and prints worth and broken
+# Plays days without each mechanism of dispatch.Optimizations and prints worth and broken
 # rules beside the whole gateway's: what each is worth.
 # usage: FLEETBENCH=path/of/fleetbench scripts/ablation.sh "why" SITE:DAY[:SEED] ...
 # MECHANISMS names some ("none" is the whole gateway); JOBS plays so many at once.
